--- a/crates/agent/src/runtime.rs
+++ b/crates/agent/src/runtime.rs
@@ -14,7 +14,7 @@
 };
 use egretseam_proto::{GroupName, Incarnation, InstanceName, Revision, TargetState, ZoneName};
 use egretseam_rpc::PeerSecret;
-use egretseam_swarm::{ChunkHandler, LinkBudget, TransferOptions, WeightStore, WeightStoreError};
+use egretseam_swarm::{ChunkHandler, LinkPacer, TransferOptions, WeightStore, WeightStoreError};
 use std::{
     cell::{Cell, RefCell},
     io,
@@ -169,7 +169,7 @@
         let client = http_client(ClientOptions::default());
         let engine: Rc<dyn EngineControl> =
             Rc::new(HttpEngine::new(client.clone(), &options.target_address));
-        let budget = Rc::new(LinkBudget::new(options.link_bytes_per_second));
+        let budget = Rc::new(LinkPacer::new(options.link_bytes_per_second));
         let token = options.chunk_token.clone();
         let chunks = Rc::new(ChunkHandler::new(token, budget.clone(), options.upload_slots));
         let shared = Rc::new(AgentShared {
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -12,7 +12,7 @@
     InstanceName, ManifestId, ProfileName, Revision, ServingVersion, TargetReport, TargetState,
 };
 use egretseam_rpc::PeerRecord;
-use egretseam_swarm::{ChunkHandler, LinkBudget, TransferReport, WeightStore};
+use egretseam_swarm::{ChunkHandler, LinkPacer, TransferReport, WeightStore};
 use indexmap::IndexMap;
 use prometheus::{Histogram, IntCounter, IntGauge};
 use std::{
@@ -92,7 +92,7 @@
     pub(crate) counters: AgentMetrics,
     pub(crate) engine: Rc<dyn EngineControl>,
     pub(crate) store: WeightStore,
-    pub(crate) budget: Rc<LinkBudget>,
+    pub(crate) budget: Rc<LinkPacer>,
     pub(crate) chunks: Rc<ChunkHandler>,
     pub(crate) view: RefCell<Rc<ConfigView>>,
     pub(crate) revision: watch::Sender<Revision>,
--- a/crates/fakes/src/origin.rs
+++ b/crates/fakes/src/origin.rs
@@ -8,7 +8,7 @@
     HttpHandler, HttpReply, ServerHandle, ServerOptions, header_text, json_reply, spawn_server,
     text_reply,
 };
-use egretseam_swarm::{LinkBudget, WeightManifest};
+use egretseam_swarm::{LinkPacer, WeightManifest};
 use futures::future::LocalBoxFuture;
 use indexmap::IndexMap;
 use std::{
@@ -86,7 +86,7 @@
     pub fn start(&self, options: OriginOptions, listener: TcpListener) -> io::Result<ServerHandle> {
         let handler = OriginHandler {
             origin: self.clone(),
-            budget: Rc::new(LinkBudget::new(options.bytes_per_second)),
+            budget: Rc::new(LinkPacer::new(options.bytes_per_second)),
             options,
             window_start: Cell::new(Instant::now()),
             window_count: Cell::new(0),
@@ -97,7 +97,7 @@
 
 struct OriginHandler {
     origin: FakeOrigin,
-    budget: Rc<LinkBudget>,
+    budget: Rc<LinkPacer>,
     options: OriginOptions,
     window_start: Cell<Instant>,
     window_count: Cell<u32>,
@@ -175,7 +175,7 @@
 }
 
 struct RangeSender {
-    budget: Rc<LinkBudget>,
+    budget: Rc<LinkPacer>,
     counters: Arc<OriginCounters>,
     data: Bytes,
 }
@@ -186,7 +186,7 @@
             return None;
         }
         let piece = self.data.split_to(self.data.len().min(PIECE_BYTES));
-        self.budget.take(piece.len()).await;
+        self.budget.acquire(piece.len()).await;
         self.counters.bytes.fetch_add(piece.len() as u64, Ordering::Relaxed);
         Some((Ok(piece), self))
     }
--- a/crates/stager/src/uploads.rs
+++ b/crates/stager/src/uploads.rs
@@ -1,7 +1,7 @@
 //! Turns on the own link for the parts that other agents fetch.
 
 use egretseam_rpc::PartReceipt;
-use egretseam_swarm::{LinkBudget, MOST_FAR_PARTS, MOST_NEAR_PARTS, TransferWindow};
+use egretseam_swarm::{LinkPacer, MOST_FAR_PARTS, MOST_NEAR_PARTS, TransferWindow};
 use indexmap::IndexMap;
 use std::{cell::RefCell, time::Duration};
 use tokio::{sync::Notify, time::Instant};
@@ -44,7 +44,7 @@
 /// Parts that this agent gives.
 #[derive(Debug)]
 pub(crate) struct PartUploads {
-    link: LinkBudget,
+    link: LinkPacer,
     near: RefCell<GivenParts>,
     far: RefCell<GivenParts>,
     freed: Notify,
@@ -54,7 +54,7 @@
     /// Nothing is on its way yet over a link of so many bytes a second.
     pub(crate) fn new(bytes_per_second: u64) -> Self {
         Self {
-            link: LinkBudget::new(Some(bytes_per_second)),
+            link: LinkPacer::new(Some(bytes_per_second)),
             near: GivenParts::new(MOST_NEAR_PARTS),
             far: GivenParts::new(MOST_FAR_PARTS),
             freed: Notify::new(),
@@ -63,12 +63,12 @@
 
     /// Uses only so much of the link's rate.
     pub(crate) fn set_share(&self, share: f64) {
-        self.link.set_share(share);
+        self.link.set_rate_fraction(share);
     }
 
     /// Waits for the turn of a part.
     pub(crate) async fn turn(&self, is_near: bool, bytes: usize) -> PartReceipt {
-        self.link.take(bytes).await;
+        self.link.acquire(bytes).await;
         let parts = self.parts(is_near);
         while !parts.borrow().window.has_room() {
             self.freed.notified().await;
--- a/crates/swarm/src/lib.rs
+++ b/crates/swarm/src/lib.rs
@@ -12,8 +12,8 @@
 
 mod chunk_pace;
 mod chunk_set;
-mod link_budget;
 mod link_delay;
+mod link_pacer;
 mod manifest;
 mod path_probe;
 mod planner;
@@ -26,8 +26,8 @@
 pub use crate::{
     chunk_pace::ChunkPace,
     chunk_set::ChunkSet,
-    link_budget::LinkBudget,
     link_delay::LinkDelay,
+    link_pacer::LinkPacer,
     manifest::{ManifestError, RawManifest, WeightManifest},
     path_probe::PathProbe,
     planner::{
--- a/crates/swarm/src/server.rs
+++ b/crates/swarm/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     chunk_set::ChunkSet,
-    link_budget::LinkBudget,
+    link_pacer::LinkPacer,
     manifest::WeightManifest,
     source::HAVE_HEADER,
     store::{StagedWeights, WholeWeights},
@@ -70,7 +70,7 @@
 /// Answers peers.
 pub struct ChunkHandler {
     token: SecretToken,
-    budget: Rc<LinkBudget>,
+    budget: Rc<LinkPacer>,
     versions: RefCell<IndexMap<ManifestId, SharedVersion>>,
     slots: Rc<Cell<usize>>,
     max_slots: usize,
@@ -88,7 +88,7 @@
 
 impl ChunkHandler {
     /// A handler that sends at most `max_slots` chunks at a time.
-    pub fn new(token: SecretToken, budget: Rc<LinkBudget>, max_slots: usize) -> Self {
+    pub fn new(token: SecretToken, budget: Rc<LinkPacer>, max_slots: usize) -> Self {
         Self {
             token,
             budget,
@@ -239,7 +239,7 @@
 
 struct ChunkReader {
     data: VersionData,
-    budget: Rc<LinkBudget>,
+    budget: Rc<LinkPacer>,
     counters: Rc<ServerCounters>,
     at: u64,
     end: u64,
@@ -253,7 +253,7 @@
             return None;
         }
         let length = (self.end - self.at).min(PIECE_BYTES) as usize;
-        self.budget.take(length).await;
+        self.budget.acquire(length).await;
         let mut piece = vec![0; length];
         let read = self.data.read_at(self.at, &mut piece);
         self.at += length as u64;
--- a/crates/swarm/src/transfer.rs
+++ b/crates/swarm/src/transfer.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     chunk_set::ChunkSet,
-    link_budget::LinkBudget,
+    link_pacer::LinkPacer,
     manifest::WeightManifest,
     planner::{
         ChunkIndex, FetchFailure, FetchOrder, PlannerPeer, PlannerPolicy, SourceChoice,
@@ -111,7 +111,7 @@
     planner: RefCell<SwarmPlanner>,
     peers: RefCell<IndexMap<InstanceName, Rc<dyn PeerSource>>>,
     sources: TransferSources,
-    budget: Rc<LinkBudget>,
+    budget: Rc<LinkPacer>,
     handler: Rc<ChunkHandler>,
     bytes: ByteCounters,
     changed: Notify,
@@ -132,7 +132,7 @@
         own: PlannerPeer,
         options: TransferOptions,
         sources: TransferSources,
-        budget: Rc<LinkBudget>,
+        budget: Rc<LinkPacer>,
         handler: Rc<ChunkHandler>,
     ) -> Result<Rc<Self>, TransferError> {
         let (staged, have) = store.stage(manifest)?;
@@ -376,7 +376,7 @@
             if taken + piece.len() as u64 > expected {
                 return Err(FetchError::Source(FetchFailure::Corrupt));
             }
-            self.budget.take(piece.len()).await;
+            self.budget.acquire(piece.len()).await;
             if self.have.borrow().contains(chunk) {
                 return Ok(());
             }
