--- a/crates/stager/src/downloads.rs
+++ b/crates/stager/src/downloads.rs
@@ -2,7 +2,9 @@
 
 use bytes::{Bytes, BytesMut};
 use egretseam_rpc::{CallError, ChunkLink, PartCall, PartReceipt, PartReply, WeightsKey};
-use egretseam_swarm::{LinkDelay, MOST_FAR_PARTS, MOST_NEAR_PARTS, PART_BYTES, TransferWindow};
+use egretseam_swarm::{
+    LinkMonitor, MAX_CROSS_ZONE_PARTS, MAX_SAME_ZONE_PARTS, PART_BYTES, TransferWindow,
+};
 use std::{cell::RefCell, rc::Rc, time::Duration};
 use tokio::{sync::Notify, time::Instant};
 
@@ -53,7 +55,7 @@
     near: RefCell<TransferWindow>,
     far: RefCell<TransferWindow>,
     /// Whether the own link is narrower than it was said to be.
-    link: RefCell<LinkDelay>,
+    link: RefCell<LinkMonitor>,
     freed: Notify,
 }
 
@@ -63,9 +65,9 @@
         let expected = PART_BYTES as f64 / bytes_per_second.max(1) as f64;
         let expected = Duration::from_secs_f64(expected) + ROUND_TRIP;
         Self {
-            near: RefCell::new(TransferWindow::new(MOST_NEAR_PARTS)),
-            far: RefCell::new(TransferWindow::new(MOST_FAR_PARTS)),
-            link: RefCell::new(LinkDelay::new(expected)),
+            near: RefCell::new(TransferWindow::new(MAX_SAME_ZONE_PARTS)),
+            far: RefCell::new(TransferWindow::new(MAX_CROSS_ZONE_PARTS)),
+            link: RefCell::new(LinkMonitor::new(expected)),
             freed: Notify::new(),
         }
     }
@@ -79,11 +81,11 @@
 
     /// Looks whether parts are late that are still on their way.
     pub(crate) fn look(&self, now: Instant) {
-        self.far.borrow_mut().look(now);
+        self.far.borrow_mut().check_late(now);
         let mut near = self.near.borrow_mut();
-        near.look(now);
-        if let Some(quiet) = near.quiet(now) {
-            self.link.borrow_mut().note_quiet(quiet, near.under_way(), now);
+        near.check_late(now);
+        if let Some(quiet) = near.time_since_arrival(now) {
+            self.link.borrow_mut().note_no_arrival(quiet, near.in_flight(), now);
         }
     }
 
@@ -98,7 +100,7 @@
 
     /// Part of the own link's rate that there seems to be.
     pub(crate) fn share(&self, now: Instant) -> f64 {
-        self.link.borrow().share(now)
+        self.link.borrow().rate_fraction(now)
     }
 
     /// Fetches a chunk, one part after the other.
@@ -154,7 +156,7 @@
             self.freed.notified().await;
         }
         let began_at = Instant::now();
-        let others = window.borrow().under_way();
+        let others = window.borrow().in_flight();
         let id = window.borrow_mut().begin(began_at);
         PartGuard { downloads: self, is_near, id, others, began_at }
     }
--- a/crates/stager/src/uploads.rs
+++ b/crates/stager/src/uploads.rs
@@ -1,7 +1,7 @@
 //! Turns on the own link for the parts that other agents fetch.
 
 use egretseam_rpc::PartReceipt;
-use egretseam_swarm::{LinkPacer, MOST_FAR_PARTS, MOST_NEAR_PARTS, TransferWindow};
+use egretseam_swarm::{LinkPacer, MAX_CROSS_ZONE_PARTS, MAX_SAME_ZONE_PARTS, TransferWindow};
 use indexmap::IndexMap;
 use std::{cell::RefCell, time::Duration};
 use tokio::{sync::Notify, time::Instant};
@@ -36,7 +36,7 @@
     fn look(&mut self, now: Instant) {
         let is_new = |given_at: &Instant| now.saturating_duration_since(*given_at) <= RECEIPT_LIMIT;
         self.given_at.retain(|_, given_at| is_new(given_at));
-        self.window.look(now);
+        self.window.check_late(now);
         self.window.expire(RECEIPT_LIMIT, now);
     }
 }
@@ -55,8 +55,8 @@
     pub(crate) fn new(bytes_per_second: u64) -> Self {
         Self {
             link: LinkPacer::new(Some(bytes_per_second)),
-            near: GivenParts::new(MOST_NEAR_PARTS),
-            far: GivenParts::new(MOST_FAR_PARTS),
+            near: GivenParts::new(MAX_SAME_ZONE_PARTS),
+            far: GivenParts::new(MAX_CROSS_ZONE_PARTS),
             freed: Notify::new(),
         }
     }
--- a/crates/swarm/src/lib.rs
+++ b/crates/swarm/src/lib.rs
@@ -12,7 +12,7 @@
 
 mod chunk_pace;
 mod chunk_set;
-mod link_delay;
+mod link_monitor;
 mod link_pacer;
 mod manifest;
 mod path_probe;
@@ -26,7 +26,7 @@
 pub use crate::{
     chunk_pace::ChunkPace,
     chunk_set::ChunkSet,
-    link_delay::LinkDelay,
+    link_monitor::LinkMonitor,
     link_pacer::LinkPacer,
     manifest::{ManifestError, RawManifest, WeightManifest},
     path_probe::PathProbe,
@@ -40,5 +40,5 @@
     },
     store::{StagedWeights, WeightStore, WeightStoreError, WholeWeights},
     transfer::{TransferError, TransferOptions, TransferReport, TransferSources, WeightTransfer},
-    transfer_window::{MOST_FAR_PARTS, MOST_NEAR_PARTS, PART_BYTES, TransferWindow},
+    transfer_window::{MAX_CROSS_ZONE_PARTS, MAX_SAME_ZONE_PARTS, PART_BYTES, TransferWindow},
 };
--- a/crates/swarm/src/link_delay.rs
+++ b/crates/swarm/src/link_monitor.rs
@@ -37,7 +37,7 @@
 
 /// Times of the last parts that were fetched.
 #[derive(Clone, Debug)]
-pub struct LinkDelay {
+pub struct LinkMonitor {
     expected: Duration,
     times: VecDeque<PartTime>,
     /// Time without any part while some were under way.
@@ -45,7 +45,7 @@
     noted_at: Instant,
 }
 
-impl LinkDelay {
+impl LinkMonitor {
     /// Nothing measured yet; `expected` is what a part takes on the link as it was said to be.
     pub fn new(expected: Duration) -> Self {
         Self { expected, times: VecDeque::new(), quiet: None, noted_at: Instant::now() }
@@ -70,7 +70,7 @@
     /// the link counts as usual again for half a second, and requests are sent that are on their way
     /// for longer than their callers stay. What came before a silence says nothing any more; it ends
     /// with a part at the usual pace, or with enough of the slow ones.
-    pub fn note_quiet(&mut self, quiet: Duration, under_way: usize, now: Instant) {
+    pub fn note_no_arrival(&mut self, quiet: Duration, under_way: usize, now: Instant) {
         let time = PartTime::new(quiet, under_way.saturating_sub(1));
         if under_way < FEWEST_QUIET || !self.is_slow(&time) {
             return;
@@ -95,7 +95,7 @@
     }
 
     /// Part of the link's rate that there seems to be.
-    pub fn share(&self, now: Instant) -> f64 {
+    pub fn rate_fraction(&self, now: Instant) -> f64 {
         self.narrowness(now).map_or(1.0, |narrowness| 1.0 / narrowness.max(1.0))
     }
 
--- a/crates/swarm/src/transfer_window.rs
+++ b/crates/swarm/src/transfer_window.rs
@@ -13,9 +13,9 @@
 /// Most parts on their way at a time in one direction, from or to instances of the own availability
 /// zone. With those of the other direction they take a link of a fifteenth of the usual rate half a
 /// second.
-pub const MOST_NEAR_PARTS: usize = 5;
+pub const MAX_SAME_ZONE_PARTS: usize = 5;
 /// The same from or to instances of other availability zones.
-pub const MOST_FAR_PARTS: usize = 3;
+pub const MAX_CROSS_ZONE_PARTS: usize = 3;
 
 /// Parts that may be on their way before any has arrived.
 const FIRST_PARTS: f64 = 2.0;
@@ -69,7 +69,7 @@
     }
 
     /// How many parts are on their way over this link.
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.counted().count()
     }
 
@@ -80,11 +80,11 @@
 
     /// Whether one more may be on its way.
     pub fn has_room(&self) -> bool {
-        self.under_way() < self.size()
+        self.in_flight() < self.size()
     }
 
     /// Time without any part while some are on their way over this link.
-    pub fn quiet(&self, now: Instant) -> Option<Duration> {
+    pub fn time_since_arrival(&self, now: Instant) -> Option<Duration> {
         let first = self.counted().map(|part| part.sent_at).min()?;
         Some(now.saturating_duration_since(self.came_at.map_or(first, |at| at.max(first))))
     }
@@ -127,8 +127,8 @@
     }
 
     /// Looks whether parts are late that are still on their way.
-    pub fn look(&mut self, now: Instant) {
-        if self.quiet(now).is_some_and(|quiet| quiet > PROMPT) {
+    pub fn check_late(&mut self, now: Instant) {
+        if self.time_since_arrival(now).is_some_and(|quiet| quiet > PROMPT) {
             self.note_late(now);
         }
     }
--- a/tests/all/narrow_links.rs
+++ b/tests/all/narrow_links.rs
@@ -2,7 +2,7 @@
 
 use crate::serving_tables::{choose, id, link_news, table};
 use egretseam_serving::Choice;
-use egretseam_swarm::LinkDelay;
+use egretseam_swarm::LinkMonitor;
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
 
@@ -15,7 +15,7 @@
 
 /// Chunks that come one behind the other over a link, so many of them under way at any time.
 struct ChunkLine {
-    link: LinkDelay,
+    link: LinkMonitor,
     now: Instant,
     came_at: Instant,
     asked_at: VecDeque<Instant>,
@@ -25,7 +25,7 @@
     fn new(expected: Duration, under_way: usize) -> Self {
         let now = Instant::now();
         let asked_at = std::iter::repeat_n(now, under_way).collect();
-        Self { link: LinkDelay::new(expected), now, came_at: now, asked_at }
+        Self { link: LinkMonitor::new(expected), now, came_at: now, asked_at }
     }
 
     /// Plays a chunk that spends `each` on the link; returns what each look at the link finds meanwhile.
@@ -35,7 +35,7 @@
         while self.now + LOOK_INTERVAL < arrives_at {
             self.now += LOOK_INTERVAL;
             let quiet = self.now - self.came_at;
-            self.link.note_quiet(quiet, self.asked_at.len(), self.now);
+            self.link.note_no_arrival(quiet, self.asked_at.len(), self.now);
             known.push(self.link.delay(self.now));
         }
         (self.now, self.came_at) = (arrives_at, arrives_at);
--- a/tests/all/seeders.rs
+++ b/tests/all/seeders.rs
@@ -2,7 +2,7 @@
 
 use egretseam_proto::{InstanceName, ZoneName};
 use egretseam_swarm::{
-    ChunkSet, FetchFailure, FetchOrder, LinkDelay, PlannerPeer, PlannerPolicy, SourceChoice,
+    ChunkSet, FetchFailure, FetchOrder, LinkMonitor, PlannerPeer, PlannerPolicy, SourceChoice,
     SwarmPlanner,
 };
 use indexmap::IndexSet;
@@ -245,11 +245,11 @@
 async fn a_narrow_link_is_told_from_a_slow_neighbour() {
     let now = Instant::now();
     let millis = Duration::from_millis;
-    let mut link = LinkDelay::new(millis(50));
+    let mut link = LinkMonitor::new(millis(50));
     for _ in 0..10 {
         link.note(millis(280), 4, now);
     }
-    assert_eq!((link.delay(now), link.share(now)), (None, 1.0));
+    assert_eq!((link.delay(now), link.rate_fraction(now)), (None, 1.0));
     for number in 0..20 {
         link.note(if number % 3 == 0 { millis(300) } else { millis(2_400) }, 4, now);
         assert_eq!(link.delay(now), None, "one neighbour answers at the usual pace");
@@ -258,12 +258,12 @@
         link.note(millis(2_000), 4, now);
     }
     assert_eq!(link.delay(now), Some(millis(2_000)));
-    assert!((0.2..0.5).contains(&link.share(now)), "{}", link.share(now));
+    assert!((0.2..0.5).contains(&link.rate_fraction(now)), "{}", link.rate_fraction(now));
     // Before any chunk has come at all: none of five for a second.
-    let mut fresh = LinkDelay::new(millis(50));
-    fresh.note_quiet(millis(300), 5, now);
+    let mut fresh = LinkMonitor::new(millis(50));
+    fresh.note_no_arrival(millis(300), 5, now);
     assert_eq!(fresh.delay(now), None);
-    fresh.note_quiet(millis(1_000), 5, now);
+    fresh.note_no_arrival(millis(1_000), 5, now);
     assert_eq!(fresh.delay(now), Some(millis(1_000)));
     assert_eq!(fresh.delay(now + millis(9_000)), None, "it is forgotten");
     // With one chunk at a time it is still the same link.
@@ -274,7 +274,7 @@
     for _ in 0..4 {
         link.note(millis(90), 0, now);
     }
-    assert_eq!((link.delay(now), link.share(now)), (None, 1.0));
+    assert_eq!((link.delay(now), link.rate_fraction(now)), (None, 1.0));
 }
 
 /// What users would see: no service for seconds after the origin of weights is back. While it was
--- a/tests/all/transfer_window.rs
+++ b/tests/all/transfer_window.rs
@@ -1,6 +1,6 @@
 //! How much of the weights is on its way over a link.
 
-use egretseam_swarm::{MOST_NEAR_PARTS, PART_BYTES, TransferWindow};
+use egretseam_swarm::{MAX_SAME_ZONE_PARTS, PART_BYTES, TransferWindow};
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
 
@@ -25,7 +25,7 @@
 impl PartLine {
     fn new() -> Self {
         let now = Instant::now();
-        let window = TransferWindow::new(MOST_NEAR_PARTS);
+        let window = TransferWindow::new(MAX_SAME_ZONE_PARTS);
         Self { window, now, looked_at: now, parts: VecDeque::new() }
     }
 
@@ -49,7 +49,7 @@
         let until = self.now + time;
         while self.looked_at + LOOK_INTERVAL <= until {
             self.looked_at += LOOK_INTERVAL;
-            self.window.look(self.looked_at);
+            self.window.check_late(self.looked_at);
         }
         self.now = until;
     }
@@ -65,30 +65,30 @@
     let (usual, narrow) = (time_of_part(1_175_000), time_of_part(75_000));
     let mut line = PartLine::new();
     line.play(millis(500), usual);
-    assert_eq!(line.window.size(), MOST_NEAR_PARTS, "a usual link is kept busy");
+    assert_eq!(line.window.size(), MAX_SAME_ZONE_PARTS, "a usual link is kept busy");
     assert!(line.play(millis(600), narrow) <= MOST_WAIT, "what was on its way when it narrowed");
     let later = line.play(millis(3_000), narrow);
     assert!(later <= narrow * 3, "{later:?} at a time while it is narrow");
     line.play(millis(500), usual);
-    assert_eq!(line.window.size(), MOST_NEAR_PARTS, "it has widened");
+    assert_eq!(line.window.size(), MAX_SAME_ZONE_PARTS, "it has widened");
 }
 
 /// Guards against fetches that all wait for instances behind narrow links while others could give.
 #[test]
 fn parts_that_are_held_up_elsewhere_leave_room_for_others() {
     let now = Instant::now();
-    let mut window = TransferWindow::new(MOST_NEAR_PARTS);
+    let mut window = TransferWindow::new(MAX_SAME_ZONE_PARTS);
     let held_up = window.begin(now);
     for _ in 0..20 {
         let part = window.begin(now);
         window.end(part, millis(10), now);
     }
-    assert_eq!((window.under_way(), window.overtaken()), (0, 1));
+    assert_eq!((window.in_flight(), window.overtaken()), (0, 1));
     let later = now + millis(2_000);
-    window.look(later);
-    assert_eq!(window.size(), MOST_NEAR_PARTS, "it says nothing of the own link");
+    window.check_late(later);
+    assert_eq!(window.size(), MAX_SAME_ZONE_PARTS, "it says nothing of the own link");
     assert!(!window.end(held_up, millis(2_000), later));
-    assert_eq!(window.size(), MOST_NEAR_PARTS);
+    assert_eq!(window.size(), MAX_SAME_ZONE_PARTS);
 }
 
 /// Guards against a window that stays shut after an instance has gone with what it was given.
