--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -276,10 +276,10 @@
             seeds: self.seeds.feeds.clone(),
             chunk_port: address.port(),
             planner: PlannerPolicy {
-                peer_fetches: PEER_FETCHES,
-                fetches_per_peer: 1,
-                seeders: policy.seeders.map_or(SEEDERS, |seeders| seeders as usize),
-                zone_patience: ZONE_PATIENCE,
+                max_peer_fetches: PEER_FETCHES,
+                max_fetches_per_peer: 1,
+                max_seeders: policy.seeders.map_or(SEEDERS, |seeders| seeders as usize),
+                cross_zone_delay: ZONE_PATIENCE,
                 ..PlannerPolicy::default()
             },
             upload_bytes_per_second: (self.settings.link_mbps * upload_share * 125_000.0) as u64,
--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -63,7 +63,7 @@
     /// How long it takes until all chunks are here, if they go on coming as they have; `None` if
     /// they have stopped or none has come.
     pub(crate) fn expected_whole(&self, now: Instant) -> Option<Duration> {
-        self.pace.expected_whole(self.digests.count(), now)
+        self.pace.time_to_complete(self.digests.count(), now)
     }
 
     /// Keeps a chunk that was verified.
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -81,7 +81,7 @@
         plan: &WeightsPlan,
         weights: &HeldWeights,
     ) -> Rc<Self> {
-        let policy = PlannerPolicy { seeders: 0, ..shared.options.planner };
+        let policy = PlannerPolicy { max_seeders: 0, ..shared.options.planner };
         Self::with_policy(shared, plan, weights, policy)
     }
 
@@ -164,7 +164,7 @@
         let mut fetches = FetchTasks::default();
         while !self.planner.borrow().have().is_full() {
             let at_a_time = self.shared.downloads.fetches();
-            self.planner.borrow_mut().set_peer_fetches(at_a_time);
+            self.planner.borrow_mut().set_max_peer_fetches(at_a_time);
             let orders = self.planner.borrow_mut().plan(self.now());
             for order in orders {
                 let (transfer, results) = (self.clone(), results.clone());
@@ -230,14 +230,14 @@
             SourceChoice::Peer(name) => {
                 let link = self.links.borrow().get(name).cloned();
                 let link = link.ok_or(FetchFailure::Absent)?;
-                let is_near = self.planner.borrow().is_near(name);
+                let is_near = self.planner.borrow().is_same_zone(name);
                 let (key, chunk) = (&self.key, order.chunk);
                 let source = ChunkSource { link: &link, is_near, key, chunk };
                 let answer = self.shared.downloads.chunk(&source).await;
                 self.shared.heed_link();
                 match answer {
                     Ok(chunk) => {
-                        self.planner.borrow_mut().note_queued(name, chunk.queued);
+                        self.planner.borrow_mut().note_queue_delay(name, chunk.queued);
                         Ok(chunk.bytes)
                     }
                     Err(PartError::Absent) => Err(FetchFailure::Absent),
@@ -317,7 +317,7 @@
         let reply = answer.ok().flatten();
         if reply.as_ref().is_some_and(|reply| reply.origin_lost) {
             let now = transfer.now();
-            transfer.planner.borrow_mut().note_origin_lost(now);
+            transfer.planner.borrow_mut().note_origin_unreachable(now);
         }
         let held = reply.and_then(|reply| ChunkSet::from_text(&reply.chunks, count));
         let pause = match held {
--- a/crates/swarm/src/chunk_pace.rs
+++ b/crates/swarm/src/chunk_pace.rs
@@ -39,7 +39,7 @@
 
     /// How long until `count` chunks are here, if they go on coming as they have; `None` if they have
     /// stopped or none has come.
-    pub fn expected_whole(&self, count: u32, now: Instant) -> Option<Duration> {
+    pub fn time_to_complete(&self, count: u32, now: Instant) -> Option<Duration> {
         let missing = count.saturating_sub(self.held);
         if missing == 0 {
             return Some(Duration::ZERO);
--- a/crates/swarm/src/planner.rs
+++ b/crates/swarm/src/planner.rs
@@ -38,24 +38,24 @@
     /// Copies that may be fetched from the origin.
     pub origin_copies: u32,
     /// Most chunks fetched from peers at a time.
-    pub peer_fetches: usize,
+    pub max_peer_fetches: usize,
     /// Most chunks fetched from one peer at a time.
-    pub fetches_per_peer: usize,
+    pub max_fetches_per_peer: usize,
     /// Most chunks fetched from the origin or store at a time, while the swarm is small; one in a
     /// larger swarm, whose members together keep the origin's link busy anyway.
-    pub origin_fetches: usize,
+    pub max_origin_fetches: usize,
     /// Most instances of the swarm that fetch from the origin at a time. Few of them get their first
     /// chunks soon, and the swarm begins to exchange; many share the origin's link so thinly that
     /// all their chunks arrive together at the end.
-    pub seeders: usize,
+    pub max_seeders: usize,
     /// Most neighbours.
-    pub neighbours: usize,
+    pub max_neighbours: usize,
     /// Time without a new chunk after which the instances that should have fetched the missing ones
     /// are passed over.
-    pub stall_limit: Duration,
+    pub stall_timeout: Duration,
     /// Time that an instance waits for a chunk to appear in its own availability zone before it
     /// fetches it across zones, unless it is the first of its zone for that chunk.
-    pub zone_patience: Duration,
+    pub cross_zone_delay: Duration,
     /// How chunks spread.
     pub scheme: DistributionScheme,
 }
@@ -64,13 +64,13 @@
     fn default() -> Self {
         Self {
             origin_copies: 1,
-            peer_fetches: 6,
-            fetches_per_peer: 2,
-            origin_fetches: 2,
-            seeders: usize::MAX,
-            neighbours: 16,
-            stall_limit: Duration::from_secs(2),
-            zone_patience: Duration::from_millis(250),
+            max_peer_fetches: 6,
+            max_fetches_per_peer: 2,
+            max_origin_fetches: 2,
+            max_seeders: usize::MAX,
+            max_neighbours: 16,
+            stall_timeout: Duration::from_secs(2),
+            cross_zone_delay: Duration::from_millis(250),
             scheme: DistributionScheme::Swarm,
         }
     }
@@ -224,14 +224,14 @@
     }
 
     /// Whether a neighbour is in the own availability zone.
-    pub fn is_near(&self, name: &InstanceName) -> bool {
+    pub fn is_same_zone(&self, name: &InstanceName) -> bool {
         self.neighbours.get(name).is_some_and(|row| row.zone == self.own.zone)
     }
 
     /// Sets how many chunks are fetched from peers at a time, for a link that turns out wider or
     /// narrower than expected.
-    pub fn set_peer_fetches(&mut self, fetches: usize) {
-        self.policy.peer_fetches = fetches.max(1);
+    pub fn set_max_peer_fetches(&mut self, fetches: usize) {
+        self.policy.max_peer_fetches = fetches.max(1);
     }
 
     /// Prefers instances in the origin's availability zone for fetching from it, so that what they
@@ -291,19 +291,19 @@
     }
 
     /// Takes in how long a chunk had to wait at a neighbour for its link.
-    pub fn note_queued(&mut self, name: &InstanceName, queued: Duration) {
+    pub fn note_queue_delay(&mut self, name: &InstanceName, queued: Duration) {
         if let Some(row) = self.neighbours.get_mut(name) {
             row.queued = queued;
         }
     }
 
     /// Notes that this instance or a neighbour could not reach the origin a moment ago.
-    pub fn note_origin_lost(&mut self, now: Duration) {
+    pub fn note_origin_unreachable(&mut self, now: Duration) {
         self.origin_lost_at = Some(now);
     }
 
     /// Bytes of some chunk arrived. A slow link that gives something is no stall.
-    pub fn note_bytes(&mut self, now: Duration) {
+    pub fn note_progress(&mut self, now: Duration) {
         self.last_progress = now;
     }
 
@@ -340,7 +340,7 @@
                 self.upstream_until = now + upstream_pause(failure);
                 if failure == FetchFailure::Unreachable {
                     self.own_fetch_at = now;
-                    self.note_origin_lost(now);
+                    self.note_origin_unreachable(now);
                 }
             }
             SourceChoice::Peer(name) => {
--- a/crates/swarm/src/planner/choose.rs
+++ b/crates/swarm/src/planner/choose.rs
@@ -96,7 +96,7 @@
     /// of six seeders at 0.9 Mbit/s). The ranks keep those that are done from all fetching the same
     /// chunk.
     fn overdue_ranks(&self, now: Duration) -> u32 {
-        if self.policy.seeders == usize::MAX {
+        if self.policy.max_seeders == usize::MAX {
             return 0;
         }
         let since = now.saturating_sub(self.own_fetch_at);
@@ -138,7 +138,7 @@
     }
 
     fn origin_slots(&self) -> usize {
-        if self.swarm.len() >= LARGE_SWARM { 1 } else { self.policy.origin_fetches }
+        if self.swarm.len() >= LARGE_SWARM { 1 } else { self.policy.max_origin_fetches }
     }
 
     /// Whether a neighbour has the chunk that is not avoided for longer than a moment. One that
@@ -174,7 +174,7 @@
             self.last_progress = now;
             return;
         }
-        if now.saturating_sub(self.last_progress) < self.stall_limit() {
+        if now.saturating_sub(self.last_progress) < self.stall_timeout() {
             return;
         }
         self.last_progress = now;
@@ -188,7 +188,7 @@
             // Failure guarded: while the origin itself is gone everybody starves. Passing ever more
             // over, each instance would take itself for the only seeder left, and all would fetch
             // everything when the origin is back.
-            if self.stalled.len() >= self.policy.seeders.saturating_mul(MOST_PASSED_OVER) {
+            if self.stalled.len() >= self.policy.max_seeders.saturating_mul(MOST_PASSED_OVER) {
                 return;
             }
             let (ahead, is_seeder) = self.seeders_ahead();
@@ -199,7 +199,7 @@
                 self.stalled.insert(first.name.clone(), now + STALLED_FOR);
                 // With few seeders one at a time is enough: if it was the origin that hung and not
                 // the seeder, the others' lists stay alike.
-                if self.policy.seeders != usize::MAX {
+                if self.policy.max_seeders != usize::MAX {
                     return;
                 }
             }
@@ -217,9 +217,9 @@
     /// How long this instance starves before it passes others over. Before anybody near has a
     /// single chunk, starving says little: in a large swarm each member's part of the origin's link
     /// is thin, and those with nothing to fetch wait for the first chunks of the others.
-    fn stall_limit(&self) -> Duration {
+    fn stall_timeout(&self) -> Duration {
         let begun = !self.have.is_empty() || self.neighbours.values().any(|r| !r.have.is_empty());
-        self.policy.stall_limit * if begun { 1 } else { FIRST_CHUNK_PATIENCE }
+        self.policy.stall_timeout * if begun { 1 } else { FIRST_CHUNK_PATIENCE }
     }
 
     /// Whether an instance does not count in rank: it starved others, or it is a neighbour that
@@ -241,7 +241,7 @@
     /// instance comes to the same list, as far as they agree on who is passed over.
     fn other_seeders(&self) -> Option<Vec<&PlannerPeer>> {
         let mut others = self.first_seeders();
-        if others.len() < self.policy.seeders {
+        if others.len() < self.policy.max_seeders {
             return Some(others);
         }
         let last = others.pop()?;
@@ -252,9 +252,9 @@
     fn first_seeders(&self) -> Vec<&PlannerPeer> {
         let mut others: Vec<&PlannerPeer> =
             self.swarm.iter().filter(|peer| !self.is_passed_over(&peer.name)).collect();
-        if others.len() > self.policy.seeders {
+        if others.len() > self.policy.max_seeders {
             others.sort_by_key(|peer| self.seeder_key(peer));
-            others.truncate(self.policy.seeders);
+            others.truncate(self.policy.max_seeders);
         }
         others
     }
@@ -266,7 +266,7 @@
 
     fn next_peer(&self, now: Duration) -> Option<FetchOrder> {
         let active: usize = self.neighbours.values().map(|row| row.active).sum();
-        if active >= self.policy.peer_fetches {
+        if active >= self.policy.max_peer_fetches {
             return None;
         }
         let free: Vec<(&InstanceName, &PeerRow)> =
@@ -278,7 +278,9 @@
     }
 
     fn is_free(&self, row: &PeerRow, now: Duration) -> bool {
-        row.active < self.policy.fetches_per_peer && now >= row.avoid_until && !row.have.is_empty()
+        row.active < self.policy.max_fetches_per_peer
+            && now >= row.avoid_until
+            && !row.have.is_empty()
     }
 
     fn rarest(&self, free: &[(&InstanceName, &PeerRow)], now: Duration) -> Option<FetchOrder> {
@@ -347,7 +349,7 @@
             return true;
         }
         let seen_at = self.chunks[chunk as usize].seen_at.unwrap_or(now);
-        if now.saturating_sub(seen_at) >= self.policy.zone_patience {
+        if now.saturating_sub(seen_at) >= self.policy.cross_zone_delay {
             return true;
         }
         let own = score(&self.own.name, chunk);
@@ -374,7 +376,7 @@
     }
 
     fn swarm_neighbours(&self) -> Vec<InstanceName> {
-        let limit = self.policy.neighbours;
+        let limit = self.policy.max_neighbours;
         let salt = self.salt();
         let mut near: Vec<&PlannerPeer> = Vec::new();
         let mut far: Vec<&PlannerPeer> = Vec::new();
--- a/crates/swarm/src/transfer.rs
+++ b/crates/swarm/src/transfer.rs
@@ -372,7 +372,7 @@
             let Some(piece) = next else { break };
             let piece = piece?;
             counter.set(counter.get() + piece.len() as u64);
-            self.planner.borrow_mut().note_bytes(self.now());
+            self.planner.borrow_mut().note_progress(self.now());
             if taken + piece.len() as u64 > expected {
                 return Err(FetchError::Source(FetchFailure::Corrupt));
             }
--- a/tests/all/fleet/narrow_link.rs
+++ b/tests/all/fleet/narrow_link.rs
@@ -268,7 +268,8 @@
         relay.start(TcpListener::bind((host(number), port)).expect("a free port"));
     }
     let (_, _fetchers_control, seed) = serve(relays.map(peer).collect(), 18);
-    let planner = PlannerPolicy { seeders: 0, fetches_per_peer: 1, ..PlannerPolicy::default() };
+    let planner =
+        PlannerPolicy { max_seeders: 0, max_fetches_per_peer: 1, ..PlannerPolicy::default() };
     let (_, _fetcher) = start_agent(host(18), port, &seed, secret, planner).await;
     wait_until(|| relay.passes.get() == 0).await;
     // What was asked for before comes over loopback by then.
--- a/tests/all/scenarios/swarm_script.rs
+++ b/tests/all/scenarios/swarm_script.rs
@@ -68,9 +68,9 @@
                 self.chunks = number(command, "chunks")? as u32;
                 let policy = PlannerPolicy {
                     origin_copies: number(command, "copies")? as u32,
-                    peer_fetches: 2,
-                    origin_fetches: 1,
-                    fetches_per_peer: 1,
+                    max_peer_fetches: 2,
+                    max_origin_fetches: 1,
+                    max_fetches_per_peer: 1,
                     ..PlannerPolicy::default()
                 };
                 let own = peer(&text(command, "name")?, &text(command, "zone")?)?;
--- a/tests/all/seeders.rs
+++ b/tests/all/seeders.rs
@@ -27,7 +27,7 @@
 /// Planners of so many instances that all have the first `held` chunks.
 fn planners_with(count: usize, held: u32) -> Vec<SwarmPlanner> {
     let swarm: Vec<PlannerPeer> = (0..count).map(peer).collect();
-    let policy = PlannerPolicy { seeders: SEEDERS, ..PlannerPolicy::default() };
+    let policy = PlannerPolicy { max_seeders: SEEDERS, ..PlannerPolicy::default() };
     let planner = |own: &PlannerPeer| {
         let mut have = ChunkSet::new(CHUNKS);
         for chunk in 0..held {
@@ -219,7 +219,7 @@
         for number in [1, 4] {
             planner.note_have(&peer(number).name, all_chunks(), now);
             let queued = if number == busy { 200 } else { 0 };
-            planner.note_queued(&peer(number).name, Duration::from_millis(queued));
+            planner.note_queue_delay(&peer(number).name, Duration::from_millis(queued));
         }
         let orders = planner.plan(now + Duration::from_secs(2));
         let first = orders.iter().find_map(|order| match &order.source {
@@ -291,7 +291,7 @@
             for order in planner.plan(now) {
                 planner.note_failed(&order, FetchFailure::Unreachable, now);
             }
-            planner.note_origin_lost(now);
+            planner.note_origin_unreachable(now);
         }
     }
     // It is back: the same instances draw each chunk once, at once.
