--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -277,7 +277,7 @@
     planner.set_swarm(&swarm);
     let neighbours: Vec<InstanceName> = planner.neighbours().cloned().collect();
     for neighbour in neighbours {
-        planner.note_have(&neighbour, ChunkSet::full(chunks), Duration::ZERO);
+        planner.apply_have(&neighbour, ChunkSet::full(chunks), Duration::ZERO);
     }
     Ok(planner)
 }
@@ -295,7 +295,7 @@
             continue;
         }
         let order = open.remove(0);
-        planner.note_fetched(&order, now);
+        planner.record_fetched(&order, now);
     }
     begun.elapsed().as_secs_f64() * 1e6
 }
--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -71,7 +71,7 @@
         if self.held.insert(index) {
             let now = Instant::now();
             self.chunks[index as usize] = Some(bytes);
-            self.pace.note(self.held.count(), now);
+            self.pace.record(self.held.count(), now);
             if self.held.is_full() {
                 self.whole_at = Some(now);
             }
--- a/crates/stager/src/downloads.rs
+++ b/crates/stager/src/downloads.rs
@@ -85,7 +85,7 @@
         let mut near = self.near.borrow_mut();
         near.check_late(now);
         if let Some(quiet) = near.time_since_arrival(now) {
-            self.link.borrow_mut().note_no_arrival(quiet, near.in_flight(), now);
+            self.link.borrow_mut().record_no_arrival(quiet, near.in_flight(), now);
         }
     }
 
@@ -180,7 +180,7 @@
         let window = self.downloads.window(self.is_near);
         let counts = window.borrow_mut().end(self.id, took, now);
         if counts && self.is_near {
-            self.downloads.link.borrow_mut().note(took, self.others, now);
+            self.downloads.link.borrow_mut().record(took, self.others, now);
         }
     }
 }
--- a/crates/stager/src/probe.rs
+++ b/crates/stager/src/probe.rs
@@ -42,7 +42,7 @@
         let Some(shared) = shared.upgrade() else { return };
         let now = Instant::now();
         if now.saturating_duration_since(looked_at) > STOPPED {
-            shared.path.borrow_mut().note_process_pause(now);
+            shared.path.borrow_mut().record_process_pause(now);
         }
         looked_at = now;
         if plan.has_changed().unwrap_or(false) {
@@ -93,18 +93,18 @@
     let name = peer_name(target);
     loop {
         let Some(held) = shared.upgrade() else { return };
-        held.path.borrow_mut().note_probe_sent(&name, Instant::now());
+        held.path.borrow_mut().record_probe_sent(&name, Instant::now());
         drop(held);
         let answer = link.echo().await;
         let Some(held) = shared.upgrade() else { return };
         let pause = match answer {
             Ok(()) => {
-                held.path.borrow_mut().note_reply(&name, Instant::now());
+                held.path.borrow_mut().record_reply(&name, Instant::now());
                 PAUSE
             }
             Err(error) => {
                 tracing::debug!(%error, "a peer does not answer a probe");
-                held.path.borrow_mut().note_unreachable(&name);
+                held.path.borrow_mut().record_unreachable(&name);
                 PAUSE_AFTER_FAILURE
             }
         };
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -197,13 +197,13 @@
                 self.shared.metrics.chunks_bad.inc();
                 *self.wrong.borrow_mut().entry(order.chunk).or_insert(0) += 1;
                 let now = self.now();
-                self.planner.borrow_mut().note_failed(order, FetchFailure::Corrupt, now);
+                self.planner.borrow_mut().record_failed(order, FetchFailure::Corrupt, now);
                 return;
             }
             Err(failure) => {
                 tracing::debug!(chunk = order.chunk, source = ?order.source, ?failure, "a chunk was not fetched");
                 let now = self.now();
-                self.planner.borrow_mut().note_failed(order, failure, now);
+                self.planner.borrow_mut().record_failed(order, failure, now);
                 return;
             }
         };
@@ -216,7 +216,7 @@
             SourceChoice::Peer(_) => self.shared.metrics.chunks_from_peers.inc(),
         }
         let now = self.now();
-        let is_new = self.planner.borrow_mut().note_fetched(order, now);
+        let is_new = self.planner.borrow_mut().record_fetched(order, now);
         if let Some(weights) = self.shared.chunks.borrow_mut().get_mut(&self.key)
             && is_new
         {
@@ -237,7 +237,7 @@
                 self.shared.heed_link();
                 match answer {
                     Ok(chunk) => {
-                        self.planner.borrow_mut().note_queue_delay(name, chunk.queued);
+                        self.planner.borrow_mut().record_queue_delay(name, chunk.queued);
                         Ok(chunk.bytes)
                     }
                     Err(PartError::Absent) => Err(FetchFailure::Absent),
@@ -317,14 +317,14 @@
         let reply = answer.ok().flatten();
         if reply.as_ref().is_some_and(|reply| reply.origin_lost) {
             let now = transfer.now();
-            transfer.planner.borrow_mut().note_origin_unreachable(now);
+            transfer.planner.borrow_mut().record_origin_unreachable(now);
         }
         let held = reply.and_then(|reply| ChunkSet::from_text(&reply.chunks, count));
         let pause = match held {
             Some(held) => {
                 known = held.count();
                 let now = transfer.now();
-                transfer.planner.borrow_mut().note_have(&name, held, now);
+                transfer.planner.borrow_mut().apply_have(&name, held, now);
                 transfer.wake.notify_one();
                 if known == count {
                     return;
--- a/crates/swarm/src/chunk_pace.rs
+++ b/crates/swarm/src/chunk_pace.rs
@@ -28,7 +28,7 @@
     /// Failure guarded: the origin was gone for seconds, and every chunk that comes after it seems to need
     /// its part of the pause. A version that was two seconds away was expected in half a minute, and engines
     /// took an overtaken one meanwhile. After a pause the count begins anew.
-    pub fn note(&mut self, held: u32, now: Instant) {
+    pub fn record(&mut self, held: u32, now: Instant) {
         if now.saturating_duration_since(self.gained_at) > GAIN_PAUSE {
             *self = Self::new(held, now);
             return;
--- a/crates/swarm/src/link_monitor.rs
+++ b/crates/swarm/src/link_monitor.rs
@@ -52,7 +52,7 @@
     }
 
     /// Takes in how long a part was on the network, together with so many others of this instance.
-    pub fn note(&mut self, took: Duration, others: usize, now: Instant) {
+    pub fn record(&mut self, took: Duration, others: usize, now: Instant) {
         self.noted_at = now;
         let time = PartTime::new(took, others);
         self.times.push_back(time);
@@ -70,7 +70,7 @@
     /// the link counts as usual again for half a second, and requests are sent that are on their way
     /// for longer than their callers stay. What came before a silence says nothing any more; it ends
     /// with a part at the usual pace, or with enough of the slow ones.
-    pub fn note_no_arrival(&mut self, quiet: Duration, under_way: usize, now: Instant) {
+    pub fn record_no_arrival(&mut self, quiet: Duration, under_way: usize, now: Instant) {
         let time = PartTime::new(quiet, under_way.saturating_sub(1));
         if under_way < FEWEST_QUIET || !self.is_slow(&time) {
             return;
--- a/crates/swarm/src/path_probe.rs
+++ b/crates/swarm/src/path_probe.rs
@@ -51,14 +51,14 @@
     }
 
     /// Notes that an instance is asked.
-    pub fn note_probe_sent(&mut self, peer: &InstanceName, now: Instant) {
+    pub fn record_probe_sent(&mut self, peer: &InstanceName, now: Instant) {
         if let Some(time) = self.peers.get_mut(peer) {
             time.asked_at = Some(now);
         }
     }
 
     /// Notes that it has answered.
-    pub fn note_reply(&mut self, peer: &InstanceName, now: Instant) {
+    pub fn record_reply(&mut self, peer: &InstanceName, now: Instant) {
         if let Some(time) = self.peers.get_mut(peer)
             && let Some(asked_at) = time.asked_at.take()
         {
@@ -68,7 +68,7 @@
 
     /// Notes that it cannot be reached. An instance that is down says nothing of the link, and counts
     /// again once it has answered.
-    pub fn note_unreachable(&mut self, peer: &InstanceName) {
+    pub fn record_unreachable(&mut self, peer: &InstanceName) {
         if let Some(time) = self.peers.get_mut(peer) {
             *time = PeerTime::default();
         }
@@ -78,7 +78,7 @@
     ///
     /// Failure guarded: a process that was frozen takes the time for that of answers that lie there
     /// unread, and entries send nothing to its target.
-    pub fn note_process_pause(&mut self, now: Instant) {
+    pub fn record_process_pause(&mut self, now: Instant) {
         for time in self.peers.values_mut().filter(|time| time.asked_at.is_some()) {
             time.asked_at = Some(now);
         }
--- a/crates/swarm/src/planner.rs
+++ b/crates/swarm/src/planner.rs
@@ -269,7 +269,7 @@
     }
 
     /// Takes in what a neighbour says it has.
-    pub fn note_have(&mut self, name: &InstanceName, have: ChunkSet, now: Duration) {
+    pub fn apply_have(&mut self, name: &InstanceName, have: ChunkSet, now: Duration) {
         let Some(row) = self.neighbours.get_mut(name) else { return };
         if have.len() != self.have.len() || have == row.have {
             return;
@@ -291,24 +291,24 @@
     }
 
     /// Takes in how long a chunk had to wait at a neighbour for its link.
-    pub fn note_queue_delay(&mut self, name: &InstanceName, queued: Duration) {
+    pub fn record_queue_delay(&mut self, name: &InstanceName, queued: Duration) {
         if let Some(row) = self.neighbours.get_mut(name) {
             row.queued = queued;
         }
     }
 
     /// Notes that this instance or a neighbour could not reach the origin a moment ago.
-    pub fn note_origin_unreachable(&mut self, now: Duration) {
+    pub fn record_origin_unreachable(&mut self, now: Duration) {
         self.origin_lost_at = Some(now);
     }
 
     /// Bytes of some chunk arrived. A slow link that gives something is no stall.
-    pub fn note_progress(&mut self, now: Duration) {
+    pub fn record_progress(&mut self, now: Duration) {
         self.last_progress = now;
     }
 
     /// A fetch was verified and written. Returns whether the chunk is new here.
-    pub fn note_fetched(&mut self, order: &FetchOrder, now: Duration) -> bool {
+    pub fn record_fetched(&mut self, order: &FetchOrder, now: Duration) -> bool {
         self.end_fetch(order);
         self.last_progress = now;
         if order.source == SourceChoice::Upstream && self.is_own_part(order.chunk) {
@@ -330,7 +330,7 @@
 
     /// A fetch failed. Sources that give wrong bytes, claim what they lack, or cannot be reached
     /// are avoided for a while that grows with their record.
-    pub fn note_failed(&mut self, order: &FetchOrder, failure: FetchFailure, now: Duration) {
+    pub fn record_failed(&mut self, order: &FetchOrder, failure: FetchFailure, now: Duration) {
         self.end_fetch(order);
         if failure == FetchFailure::Corrupt {
             self.bad_chunks += 1;
@@ -340,7 +340,7 @@
                 self.upstream_until = now + upstream_pause(failure);
                 if failure == FetchFailure::Unreachable {
                     self.own_fetch_at = now;
-                    self.note_origin_unreachable(now);
+                    self.record_origin_unreachable(now);
                 }
             }
             SourceChoice::Peer(name) => {
--- a/crates/swarm/src/transfer.rs
+++ b/crates/swarm/src/transfer.rs
@@ -265,7 +265,7 @@
     fn take_have(&self, name: &InstanceName, text: &str) -> Option<u32> {
         let have = ChunkSet::from_text(text, self.manifest.chunk_count())?;
         let count = have.count();
-        self.planner.borrow_mut().note_have(name, have, self.now());
+        self.planner.borrow_mut().apply_have(name, have, self.now());
         self.changed.notify_one();
         Some(count)
     }
@@ -277,7 +277,7 @@
         }
         match result {
             Ok(()) => {
-                let fresh = self.planner.borrow_mut().note_fetched(&order, self.now());
+                let fresh = self.planner.borrow_mut().record_fetched(&order, self.now());
                 if fresh {
                     self.have.borrow_mut().insert(order.chunk);
                     self.handler.note_chunk(self.manifest.id());
@@ -287,11 +287,11 @@
             }
             Err(FetchError::Source(failure)) => {
                 tracing::debug!(chunk = order.chunk, source = ?order.source, ?failure, "no chunk");
-                self.planner.borrow_mut().note_failed(&order, failure, self.now());
+                self.planner.borrow_mut().record_failed(&order, failure, self.now());
             }
             Err(FetchError::Store(error)) => {
                 let failure = FetchFailure::Unreachable;
-                self.planner.borrow_mut().note_failed(&order, failure, self.now());
+                self.planner.borrow_mut().record_failed(&order, failure, self.now());
                 *self.failure.borrow_mut() = Some(error);
             }
         }
@@ -372,7 +372,7 @@
             let Some(piece) = next else { break };
             let piece = piece?;
             counter.set(counter.get() + piece.len() as u64);
-            self.planner.borrow_mut().note_progress(self.now());
+            self.planner.borrow_mut().record_progress(self.now());
             if taken + piece.len() as u64 > expected {
                 return Err(FetchError::Source(FetchFailure::Corrupt));
             }
--- a/examples/embed_swarm.rs
+++ b/examples/embed_swarm.rs
@@ -15,7 +15,7 @@
     let have = ChunkSet::new(16);
     let mut planner = SwarmPlanner::new(peer("own", "zone-a")?, policy, have, Duration::ZERO);
     planner.set_swarm(&[peer("near", "zone-a")?, peer("far", "zone-b")?]);
-    planner.note_have(&InstanceName::try_from("near")?, ChunkSet::full(16), Duration::ZERO);
+    planner.apply_have(&InstanceName::try_from("near")?, ChunkSet::full(16), Duration::ZERO);
     let mut now = Duration::ZERO;
     while !planner.have().is_full() {
         now += Duration::from_millis(20);
@@ -23,9 +23,9 @@
             // An embedder fetches here and checks the digest before it says so.
             let damaged = order.chunk == 3 && planner.bad_chunks() == 0;
             if damaged {
-                planner.note_failed(&order, FetchFailure::Corrupt, now);
+                planner.record_failed(&order, FetchFailure::Corrupt, now);
             } else {
-                planner.note_fetched(&order, now);
+                planner.record_fetched(&order, now);
             }
             let from = match &order.source {
                 SourceChoice::Upstream => "the origin".to_owned(),
--- a/tests/all/narrow_links.rs
+++ b/tests/all/narrow_links.rs
@@ -35,12 +35,12 @@
         while self.now + LOOK_INTERVAL < arrives_at {
             self.now += LOOK_INTERVAL;
             let quiet = self.now - self.came_at;
-            self.link.note_no_arrival(quiet, self.asked_at.len(), self.now);
+            self.link.record_no_arrival(quiet, self.asked_at.len(), self.now);
             known.push(self.link.delay(self.now));
         }
         (self.now, self.came_at) = (arrives_at, arrives_at);
         let asked_at = self.asked_at.pop_front().expect("one is under way");
-        self.link.note(arrives_at - asked_at, self.asked_at.len(), arrives_at);
+        self.link.record(arrives_at - asked_at, self.asked_at.len(), arrives_at);
         self.asked_at.push_back(arrives_at);
         known.push(self.link.delay(self.now));
         known
--- a/tests/all/path_probe.rs
+++ b/tests/all/path_probe.rs
@@ -23,8 +23,8 @@
 /// Asks everybody at `now`; answers take as long as is said.
 fn ask(probe: &mut PathProbe, peers: &[InstanceName], took: &[u64], now: Instant) {
     for (peer, took) in peers.iter().zip(took) {
-        probe.note_probe_sent(peer, now);
-        probe.note_reply(peer, now + millis(*took));
+        probe.record_probe_sent(peer, now);
+        probe.record_reply(peer, now + millis(*took));
     }
 }
 
@@ -34,7 +34,7 @@
     let (names, now) = (peers(3), Instant::now());
     let mut probe = probe_of(&names);
     for peer in &names {
-        probe.note_probe_sent(peer, now);
+        probe.record_probe_sent(peer, now);
     }
     assert_eq!(probe.delay(now + millis(3_000)), None, "nobody has ever answered");
     ask(&mut probe, &names, &[1_500, 20, 1_500], now);
@@ -45,8 +45,8 @@
     assert_eq!(probe.delay(now + millis(1_500)), Some(millis(900)));
     assert_eq!(probe.delay(now + millis(4_000)), None, "answers count for a second");
     ask(&mut probe, &names, &[1_500, 1_200, 900], now);
-    probe.note_unreachable(&names[0]);
-    probe.note_unreachable(&names[1]);
+    probe.record_unreachable(&names[0]);
+    probe.record_unreachable(&names[1]);
     assert_eq!(probe.delay(now + millis(1_500)), None, "one instance says nothing of the link");
 }
 
@@ -58,10 +58,10 @@
     ask(&mut probe, &names, &[5, 5, 5], now);
     let asked_at = now + millis(100);
     for peer in &names {
-        probe.note_probe_sent(peer, asked_at);
+        probe.record_probe_sent(peer, asked_at);
     }
     assert_eq!(probe.delay(asked_at + millis(400)), None);
     assert_eq!(probe.delay(asked_at + millis(1_000)), Some(millis(1_000)));
-    probe.note_process_pause(asked_at + millis(1_000));
+    probe.record_process_pause(asked_at + millis(1_000));
     assert_eq!(probe.delay(asked_at + millis(1_000)), None, "the process was frozen");
 }
--- a/tests/all/scenarios/swarm_script.rs
+++ b/tests/all/scenarios/swarm_script.rs
@@ -48,9 +48,9 @@
         for order in &ended {
             match failure {
                 None => {
-                    self.planner()?.note_fetched(order, now);
+                    self.planner()?.record_fetched(order, now);
                 }
-                Some(failure) => self.planner()?.note_failed(order, failure, now),
+                Some(failure) => self.planner()?.record_failed(order, failure, now),
             }
         }
         let have = self.planner()?.have().count();
@@ -94,7 +94,7 @@
                 }
                 let name = InstanceName::try_from(text(command, "peer")?)?;
                 let now = self.now;
-                self.planner()?.note_have(&name, have, now);
+                self.planner()?.apply_have(&name, have, now);
             }
             "wait" => self.now += Duration::from_millis(number(command, "millis")?),
             "plan" => return self.plan(),
--- a/tests/all/seeders.rs
+++ b/tests/all/seeders.rs
@@ -57,7 +57,7 @@
             for order in planner.plan(now) {
                 if order.source == SourceChoice::Upstream {
                     drawn.push((number, order.chunk));
-                    planner.note_fetched(&order, now);
+                    planner.record_fetched(&order, now);
                 }
             }
         }
@@ -122,13 +122,13 @@
         for (number, planner) in planners.iter_mut().enumerate() {
             for order in planner.plan(now) {
                 if !is_upstream(&order) {
-                    planner.note_failed(&order, FetchFailure::Busy(Duration::ZERO), now);
+                    planner.record_failed(&order, FetchFailure::Busy(Duration::ZERO), now);
                 } else if number != slow || step % 10 == 0 {
                     drawn.push(order.chunk);
-                    planner.note_fetched(&order, now);
+                    planner.record_fetched(&order, now);
                 } else {
                     // Still under way; asked for anew in the next round.
-                    planner.note_failed(&order, FetchFailure::Busy(Duration::ZERO), now);
+                    planner.record_failed(&order, FetchFailure::Busy(Duration::ZERO), now);
                 }
             }
         }
@@ -146,18 +146,18 @@
             continue;
         }
         for (other, have) in haves.iter().enumerate() {
-            planner.note_have(&peer(other).name, have.clone(), now);
+            planner.apply_have(&peer(other).name, have.clone(), now);
         }
         loop {
             let orders = planner.plan(now);
             let from_peers: Vec<&FetchOrder> =
                 orders.iter().filter(|order| !is_upstream(order)).collect();
             for order in &from_peers {
-                planner.note_fetched(order, now);
+                planner.record_fetched(order, now);
             }
             // An order for the origin is not carried out here; it pauses that source.
             for order in orders.iter().filter(|order| is_upstream(order)) {
-                planner.note_failed(order, FetchFailure::Busy(Duration::from_millis(1)), now);
+                planner.record_failed(order, FetchFailure::Busy(Duration::from_millis(1)), now);
             }
             if from_peers.is_empty() {
                 break;
@@ -175,7 +175,7 @@
     let mut now = Duration::ZERO;
     let fail = |planner: &mut SwarmPlanner, now: Duration| {
         for order in planner.plan(now) {
-            planner.note_failed(&order, FetchFailure::Unreachable, now);
+            planner.record_failed(&order, FetchFailure::Unreachable, now);
         }
     };
     for _ in 0..160 {
@@ -196,7 +196,7 @@
     let mut planners = planners(12);
     let order = planners.iter_mut().find_map(|planner| {
         let order = planner.plan(Duration::ZERO).into_iter().find(is_upstream)?;
-        planner.note_failed(&order, FetchFailure::Unreachable, Duration::ZERO);
+        planner.record_failed(&order, FetchFailure::Unreachable, Duration::ZERO);
         assert!(!planner.plan(Duration::from_millis(100)).iter().any(is_upstream));
         planner.plan(Duration::from_secs(1)).into_iter().find(is_upstream)
     });
@@ -217,9 +217,9 @@
         let planner = &mut planners[0];
         let now = Duration::from_secs(2);
         for number in [1, 4] {
-            planner.note_have(&peer(number).name, all_chunks(), now);
+            planner.apply_have(&peer(number).name, all_chunks(), now);
             let queued = if number == busy { 200 } else { 0 };
-            planner.note_queue_delay(&peer(number).name, Duration::from_millis(queued));
+            planner.record_queue_delay(&peer(number).name, Duration::from_millis(queued));
         }
         let orders = planner.plan(now + Duration::from_secs(2));
         let first = orders.iter().find_map(|order| match &order.source {
@@ -247,32 +247,32 @@
     let millis = Duration::from_millis;
     let mut link = LinkMonitor::new(millis(50));
     for _ in 0..10 {
-        link.note(millis(280), 4, now);
+        link.record(millis(280), 4, now);
     }
     assert_eq!((link.delay(now), link.rate_fraction(now)), (None, 1.0));
     for number in 0..20 {
-        link.note(if number % 3 == 0 { millis(300) } else { millis(2_400) }, 4, now);
+        link.record(if number % 3 == 0 { millis(300) } else { millis(2_400) }, 4, now);
         assert_eq!(link.delay(now), None, "one neighbour answers at the usual pace");
     }
     for _ in 0..4 {
-        link.note(millis(2_000), 4, now);
+        link.record(millis(2_000), 4, now);
     }
     assert_eq!(link.delay(now), Some(millis(2_000)));
     assert!((0.2..0.5).contains(&link.rate_fraction(now)), "{}", link.rate_fraction(now));
     // Before any chunk has come at all: none of five for a second.
     let mut fresh = LinkMonitor::new(millis(50));
-    fresh.note_no_arrival(millis(300), 5, now);
+    fresh.record_no_arrival(millis(300), 5, now);
     assert_eq!(fresh.delay(now), None);
-    fresh.note_no_arrival(millis(1_000), 5, now);
+    fresh.record_no_arrival(millis(1_000), 5, now);
     assert_eq!(fresh.delay(now), Some(millis(1_000)));
     assert_eq!(fresh.delay(now + millis(9_000)), None, "it is forgotten");
     // With one chunk at a time it is still the same link.
     for _ in 0..4 {
-        link.note(millis(450), 0, now);
+        link.record(millis(450), 0, now);
     }
     assert_eq!(link.delay(now), Some(millis(450)));
     for _ in 0..4 {
-        link.note(millis(90), 0, now);
+        link.record(millis(90), 0, now);
     }
     assert_eq!((link.delay(now), link.rate_fraction(now)), (None, 1.0));
 }
@@ -289,9 +289,9 @@
         let now = Duration::from_millis(step * 250);
         for planner in &mut planners {
             for order in planner.plan(now) {
-                planner.note_failed(&order, FetchFailure::Unreachable, now);
+                planner.record_failed(&order, FetchFailure::Unreachable, now);
             }
-            planner.note_origin_unreachable(now);
+            planner.record_origin_unreachable(now);
         }
     }
     // It is back: the same instances draw each chunk once, at once.
--- a/tests/all/versions.rs
+++ b/tests/all/versions.rs
@@ -247,14 +247,14 @@
     let mut pace = ChunkPace::new(0, start);
     assert_eq!(pace.time_to_complete(48, start), None);
     for held in 1..=8 {
-        pace.note(held, start + millis(50) * held);
+        pace.record(held, start + millis(50) * held);
     }
     let steady = pace.time_to_complete(48, start + millis(400)).expect("chunks come");
     assert_eq!(steady, millis(2_000));
     let back = start + millis(6_500);
     assert_eq!(pace.time_to_complete(48, back), None, "they stopped coming");
     for held in 9..=18 {
-        pace.note(held, back + millis(50) * (held - 8));
+        pace.record(held, back + millis(50) * (held - 8));
     }
     let expected = pace.time_to_complete(48, back + millis(500)).expect("chunks come again");
     assert!(expected < millis(1_800), "{expected:?}");
