--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -81,7 +81,7 @@
         plan: &WeightsPlan,
         weights: &HeldWeights,
     ) -> Rc<Self> {
-        let policy = PlannerPolicy { seeders: 0, ..shared.options.planner };
+        let policy = PlannerPolicy { max_seeders: 0, ..shared.options.planner };
         Self::with_policy(shared, plan, weights, policy)
     }
 
@@ -164,7 +164,7 @@
         let mut fetches = FetchTasks::default();
         while !self.planner.borrow().have().is_full() {
             let at_a_time = self.shared.downloads.fetches();
-            self.planner.borrow_mut().set_peer_fetches(at_a_time);
+            self.planner.borrow_mut().set_max_peer_fetches(at_a_time);
             let orders = self.planner.borrow_mut().plan(self.now());
             for order in orders {
                 let (transfer, results) = (self.clone(), results.clone());
@@ -197,13 +197,13 @@
                 self.shared.metrics.chunks_bad.inc();
                 *self.wrong.borrow_mut().entry(order.chunk).or_insert(0) += 1;
                 let now = self.now();
-                self.planner.borrow_mut().note_failed(order, FetchFailure::Corrupt, now);
+                self.planner.borrow_mut().record_failed(order, FetchFailure::Corrupt, now);
                 return;
             }
             Err(failure) => {
                 tracing::debug!(chunk = order.chunk, source = ?order.source, ?failure, "a chunk was not fetched");
                 let now = self.now();
-                self.planner.borrow_mut().note_failed(order, failure, now);
+                self.planner.borrow_mut().record_failed(order, failure, now);
                 return;
             }
         };
@@ -216,7 +216,7 @@
             SourceChoice::Peer(_) => self.shared.metrics.chunks_from_peers.inc(),
         }
         let now = self.now();
-        let is_new = self.planner.borrow_mut().note_fetched(order, now);
+        let is_new = self.planner.borrow_mut().record_fetched(order, now);
         if let Some(weights) = self.shared.chunks.borrow_mut().get_mut(&self.key)
             && is_new
         {
@@ -230,14 +230,14 @@
             SourceChoice::Peer(name) => {
                 let link = self.links.borrow().get(name).cloned();
                 let link = link.ok_or(FetchFailure::Absent)?;
-                let is_near = self.planner.borrow().is_near(name);
+                let is_near = self.planner.borrow().is_same_zone(name);
                 let (key, chunk) = (&self.key, order.chunk);
                 let source = ChunkSource { link: &link, is_near, key, chunk };
                 let answer = self.shared.downloads.chunk(&source).await;
                 self.shared.heed_link();
                 match answer {
                     Ok(chunk) => {
-                        self.planner.borrow_mut().note_queued(name, chunk.queued);
+                        self.planner.borrow_mut().record_queue_delay(name, chunk.queued);
                         Ok(chunk.bytes)
                     }
                     Err(PartError::Absent) => Err(FetchFailure::Absent),
@@ -317,14 +317,14 @@
         let reply = answer.ok().flatten();
         if reply.as_ref().is_some_and(|reply| reply.origin_lost) {
             let now = transfer.now();
-            transfer.planner.borrow_mut().note_origin_lost(now);
+            transfer.planner.borrow_mut().record_origin_unreachable(now);
         }
         let held = reply.and_then(|reply| ChunkSet::from_text(&reply.chunks, count));
         let pause = match held {
             Some(held) => {
                 known = held.count();
                 let now = transfer.now();
-                transfer.planner.borrow_mut().note_have(&name, held, now);
+                transfer.planner.borrow_mut().apply_have(&name, held, now);
                 transfer.wake.notify_one();
                 if known == count {
                     return;
