--- a/crates/bench/src/slopes/configurations.rs
+++ b/crates/bench/src/slopes/configurations.rs
@@ -114,9 +114,9 @@
         let mut spent = 0.0;
         for _ in 0..REPEATS {
             let mut holder = ConfigHolder::default();
-            holder.take(0, 1, &whole)?;
+            holder.apply(0, 1, &whole)?;
             let begun = Instant::now();
-            let config = holder.take(1, 2, &difference)?;
+            let config = holder.apply(1, 2, &difference)?;
             let table = config.map(RouteTable::new);
             spent += begun.elapsed().as_secs_f64();
             drop(table);
--- a/crates/bench/src/slopes/samples.rs
+++ b/crates/bench/src/slopes/samples.rs
@@ -3,7 +3,7 @@
 use super::SlopeRow;
 use egretseam_proto::{ServiceName, ZoneName};
 use egretseam_serving::{
-    PlacementPolicy, TargetId, TargetNews, TargetRecord, TargetState, TargetTable,
+    PlacementPolicy, TargetId, TargetRecord, TargetState, TargetStatus, TargetTable,
 };
 use std::{
     net::SocketAddr,
@@ -34,7 +34,7 @@
             cold_millis: 0,
             models: Vec::new(),
         };
-        let news = TargetNews { record, silent: false, age_millis: 0 };
+        let news = TargetStatus { record, silent: false, age_millis: 0 };
         table.note_target(0, &news, tokio::time::Instant::now());
     }
     Ok(table)
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -9,7 +9,9 @@
 use egretseam_http::DaemonMetrics;
 use egretseam_registrar::{ControlDialect, RegistrarListeners, RegistrarOptions, RegistrarRuntime};
 use egretseam_rpc::PeerSecret;
-use egretseam_serving::{PlacementPolicy, RetryPolicy, SwitchTiming, USUAL_STAY, WaitPolicy};
+use egretseam_serving::{
+    DEFAULT_STREAM_IDLE_TIMEOUT, PlacementPolicy, RetryPolicy, SwitchTiming, WaitPolicy,
+};
 use egretseam_stager::{EngineDialect, StagerListeners, StagerOptions, StagerRuntime};
 use egretseam_swarm::PlannerPolicy;
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
@@ -212,7 +214,7 @@
             far_address_lifetime: policy.far_lifetime.unwrap_or(FAR_ADDRESS_LIFETIME),
             detects_retries: policy.detects_retries.unwrap_or(true),
             most_attempts: policy.most_attempts.map_or(u32::MAX, |most| most as u32),
-            callers_stay: policy.callers_stay.unwrap_or(USUAL_STAY),
+            callers_stay: policy.callers_stay.unwrap_or(DEFAULT_STREAM_IDLE_TIMEOUT),
             hears_loads: policy.hears_loads.unwrap_or(true),
             stop_limit: settings.stop_limit,
         };
@@ -285,7 +287,10 @@
             upload_bytes_per_second: (self.settings.link_mbps * upload_share * 125_000.0) as u64,
             fetches_early: policy.fetches_early.unwrap_or(true),
             finishes_older: policy.finishes_older.unwrap_or(true),
-            timing: SwitchTiming { bound: self.settings.version_limit, reserve: SWITCH_RESERVE },
+            timing: SwitchTiming {
+                staleness_bound: self.settings.version_limit,
+                reserve: SWITCH_RESERVE,
+            },
         };
         let runtime = StagerRuntime::start(options, dialect, listeners, self.metrics);
         runtime.context("start the agent")
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -52,9 +52,9 @@
 fn addresses(shared: &GatewayShared, zone: Option<&str>, far: bool) -> Vec<SocketAddr> {
     let mut roster = shared.roster.borrow_mut();
     // This entry knows best whether it is ready itself.
-    roster.note(shared.record(), Instant::now());
+    roster.apply(shared.record(), Instant::now());
     if far {
-        let elsewhere = roster.addresses_elsewhere(zone, MAX_ADDRESSES);
+        let elsewhere = roster.addresses_outside_zone(zone, MAX_ADDRESSES);
         if !elsewhere.is_empty() {
             return elsewhere;
         }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -177,7 +177,7 @@
             targets_seen: self.position.targets_seen,
             roster_seen: self.position.roster_seen,
             config_held: shared.config_version(),
-            config_wish: shared.config.borrow().wish(self.position.config_version),
+            config_wish: shared.config.borrow().next_request(self.position.config_version),
             wait_millis: READING_WAIT.as_millis() as u64,
         }
     }
@@ -251,7 +251,7 @@
     }
 }
 
-fn log_target(news: &egretseam_serving::TargetNews) {
+fn log_target(news: &egretseam_serving::TargetStatus) {
     tracing::info!(
         target_id = %news.record.id,
         service = %news.record.service,
@@ -267,7 +267,7 @@
 
 /// Puts a configuration in force if it is newer than the one in force.
 fn take_config(shared: &GatewayShared, base: u64, version: u64, packed: &PackedDocument) {
-    let taken = shared.config.borrow_mut().take(base, version, packed);
+    let taken = shared.config.borrow_mut().apply(base, version, packed);
     let config = match taken {
         Ok(Some(config)) => config,
         Ok(None) => return,
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -250,7 +250,7 @@
     arrivals: u32,
     unreached: usize,
 ) -> bool {
-    let repeatable = !failure.may_have_run() || request.route.kind.may_repeat();
+    let repeatable = !failure.may_have_run() || request.route.kind.may_retry();
     if !repeatable || Instant::now() >= request.deadline || unreached > MAX_UNREACHED {
         return false;
     }
@@ -300,8 +300,8 @@
         model: request.terms.model.as_ref(),
         tried,
         claim: request.claim(),
-        begin_by: (!is_first && limits.awaits_stream).then(|| limits.wait_until()),
-        latest: if is_first { request.deadline } else { limits.wait_until() },
+        begin_by: (!is_first && limits.awaits_stream).then(|| limits.wait_deadline()),
+        latest: if is_first { request.deadline } else { limits.wait_deadline() },
     };
     let reply = tokio::select! {
         biased;
@@ -394,11 +394,11 @@
     arrivals: u32,
 ) -> Instant {
     let route = &request.route;
-    let may_repeat = route.kind.may_repeat() && arrivals + 1 < most_arrivals(shared, request);
-    if !may_repeat {
+    let may_retry = route.kind.may_retry() && arrivals + 1 < most_arrivals(shared, request);
+    if !may_retry {
         return request.deadline;
     }
-    let patience = request.limits(shared.options.callers_stay).attempt_until(Instant::now());
+    let patience = request.limits(shared.options.callers_stay).attempt_deadline(Instant::now());
     let model = request.terms.model.as_ref();
     let places = shared.places.borrow();
     // Failure guarded: a request waits in a full engine until after the bound and begins on old
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -151,7 +151,7 @@
     reader: &mut BodyReader,
     answer: &mut OpenAnswer,
 ) -> Result<Option<Bytes>, RelayEnd> {
-    let patience = if request.route.kind.may_repeat() {
+    let patience = if request.route.kind.may_retry() {
         (Instant::now() + STREAM_SILENCE).min(request.deadline)
     } else {
         request.deadline
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -55,13 +55,13 @@
     }
 
     /// What limits its attempts and its waits for further places.
-    pub(crate) fn limits(&self, stay: Duration) -> AttemptLimits {
+    pub(crate) fn limits(&self, stream_idle_timeout: Duration) -> AttemptLimits {
         AttemptLimits {
             awaits_stream: self.route.kind.is_stream() && !self.answering,
             objective: self.route.objective,
             received_at: self.received_at,
             deadline: self.deadline,
-            stay,
+            stream_idle_timeout,
         }
     }
 
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -217,7 +217,7 @@
 
     /// Counts a caller's request towards a service's retry budget.
     pub(crate) fn note_request(&self, service: &ServiceName) {
-        self.with_budget(service, |budget| budget.note_request(Instant::now()));
+        self.with_budget(service, |budget| budget.record_request(Instant::now()));
     }
 
     /// How long a caller has been trying, by the time that it says it has left.
--- a/crates/registrar/src/feed.rs
+++ b/crates/registrar/src/feed.rs
@@ -7,7 +7,7 @@
     AgentCall, AgentReply, FeedCall, FeedReader, FeedReply, FeedRoster, FeedService, WeightsKey,
     WeightsPlan,
 };
-use egretseam_serving::{ConfigWish, NamedVersion};
+use egretseam_serving::{ConfigRequest, PublishedVersion};
 use std::{rc::Rc, time::Duration};
 use tarpc::context::Context;
 use tokio::time::Instant;
@@ -42,10 +42,10 @@
 
     fn note_reader(&self, reader: &FeedReader) {
         let FeedReader::Entry(record) = reader else { return };
-        let changed = self.shared.entries.borrow_mut().note(record.clone(), Instant::now());
+        let changed = self.shared.entries.borrow_mut().apply(record.clone(), Instant::now());
         if changed {
             tracing::info!(entry = %record.name, ready = record.ready, run = record.run, "entry changed");
-            self.shared.roster_pace.borrow_mut().note_changed(Instant::now());
+            self.shared.roster_batcher.borrow_mut().record_change(Instant::now());
         }
     }
 }
@@ -61,7 +61,7 @@
         };
         self.wait_for(call.wait_millis, |shared| {
             let config = config_version(shared);
-            shared.registry.borrow().number() > targets_seen
+            shared.registry.borrow().change_number() > targets_seen
                 || shared.roster_number.get() > roster_seen
                 || config > call.config_held
         })
@@ -73,7 +73,7 @@
     async fn agent(self, _: Context, call: AgentCall) -> AgentReply {
         if let Some(engine) = &call.engine {
             let news =
-                self.shared.registry.borrow_mut().note_engine(engine.clone(), Instant::now());
+                self.shared.registry.borrow_mut().apply_engine(engine.clone(), Instant::now());
             if news {
                 tracing::info!(
                     target = %engine.address,
@@ -145,7 +145,7 @@
     let roster_number = shared.roster_number.get();
     FeedReply {
         run: shared.run,
-        targets_seen: registry.number(),
+        targets_seen: registry.change_number(),
         targets: registry.targets_since(targets_seen, now),
         gone: registry.gone_since(targets_seen),
         engines: registry.engines_since(targets_seen, now),
@@ -162,9 +162,9 @@
         return None;
     }
     let packed = match call.config_wish {
-        ConfigWish::Number => None,
-        ConfigWish::Difference => documents.packed_for(Some(call.config_held)),
-        ConfigWish::Whole => documents.packed_for(None),
+        ConfigRequest::Number => None,
+        ConfigRequest::Difference => documents.packed_for(Some(call.config_held)),
+        ConfigRequest::Whole => documents.packed_for(None),
     };
     let packed = packed?;
     let metrics = &shared.metrics;
@@ -176,7 +176,7 @@
 fn roster(shared: &RegistrarShared, number: u64, now: Instant) -> FeedRoster {
     let entries = shared.entries.borrow();
     let versions = shared.versions.borrow();
-    let named = versions.iter().map(|(model, (version, since))| NamedVersion {
+    let named = versions.iter().map(|(model, (version, since))| PublishedVersion {
         model: model.clone(),
         version: *version,
         age_millis: now.saturating_duration_since(*since).as_millis() as u64,
--- a/crates/registrar/src/front.rs
+++ b/crates/registrar/src/front.rs
@@ -126,13 +126,13 @@
         return refusal;
     }
     let mut registry = shared.registry.borrow_mut();
-    let before = registry.number();
+    let before = registry.change_number();
     let (id, state, sequence) = (record.id.clone(), record.state, record.sequence);
     let outcome = registry.announce(record, Instant::now());
-    let changed = registry.number() > before;
+    let changed = registry.change_number() > before;
     drop(registry);
     match outcome {
-        AnnounceOutcome::Taken => shared.metrics.announcements.inc(),
+        AnnounceOutcome::Accepted => shared.metrics.announcements.inc(),
         AnnounceOutcome::Stale => {
             tracing::info!(target_id = %id, sequence, "a stale announcement was ignored");
             shared.metrics.stale_announcements.inc();
--- a/crates/registrar/src/loads.rs
+++ b/crates/registrar/src/loads.rs
@@ -64,7 +64,7 @@
         let entries = shared.entries.borrow();
         let port = shared.options.load_port;
         let at = |address: SocketAddr| SocketAddr::new(address.ip(), port);
-        entries.one_of_each_zone(round).map(|record| at(record.address)).collect()
+        entries.one_per_zone(round).map(|record| at(record.address)).collect()
     };
     for part in samples.chunks(MAX_SAMPLES) {
         let bytes = LoadDatagram::encode(&shared.options.control.secret, true, part);
--- a/crates/registrar/src/mirror.rs
+++ b/crates/registrar/src/mirror.rs
@@ -3,7 +3,7 @@
 
 use crate::shared::RegistrarShared;
 use egretseam_rpc::{FeedCall, FeedLink, FeedReader, FeedReply, LinkOptions};
-use egretseam_serving::{ConfigWish, TargetId, TargetNews, TargetRecord};
+use egretseam_serving::{ConfigRequest, TargetId, TargetRecord, TargetStatus};
 use indexmap::IndexMap;
 use std::{
     rc::{Rc, Weak},
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct MirrorTable {
     /// By member, then by the target's name.
-    members: IndexMap<String, IndexMap<String, TargetNews>>,
+    members: IndexMap<String, IndexMap<String, TargetStatus>>,
 }
 
 impl MirrorTable {
@@ -95,7 +95,7 @@
             targets_seen,
             roster_seen: u64::MAX,
             config_held: u64::MAX,
-            config_wish: ConfigWish::Number,
+            config_wish: ConfigRequest::Number,
             wait_millis: READING_WAIT.as_millis() as u64,
         };
         let reading = link.feed(call).await;
--- a/crates/registrar/src/plans.rs
+++ b/crates/registrar/src/plans.rs
@@ -6,7 +6,7 @@
 use crate::shared::RegistrarShared;
 use egretseam_proto::ServiceName;
 use egretseam_rpc::WeightsPlan;
-use egretseam_serving::{NamedVersion, PeerList, PeerMap, PeerUpdate, ServingConfig};
+use egretseam_serving::{PeerList, PeerMap, PeerUpdate, PublishedVersion, ServingConfig};
 use indexmap::IndexMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -33,7 +33,7 @@
 impl PlanTable {
     /// Numbers of a service's plan and of its list of peers.
     pub(crate) fn numbers(&self, service: &ServiceName) -> (u64, u64) {
-        self.rows.get(service).map_or((0, 0), |row| (row.number, row.peers.number()))
+        self.rows.get(service).map_or((0, 0), |row| (row.number, row.peers.change_number()))
     }
 
     /// A service's plan, if there is one.
@@ -105,7 +105,7 @@
     let model = engine.models.first()?.clone();
     let origin = config.origin()?;
     let versions = shared.versions.borrow();
-    let version = versions.get(&model).map(|(version, _)| NamedVersion {
+    let version = versions.get(&model).map(|(version, _)| PublishedVersion {
         model: model.clone(),
         version: *version,
         age_millis: 0,
@@ -124,5 +124,5 @@
     let mut leading = config.routes.iter().filter(|route| {
         route.destinations.iter().any(|destination| destination.service == *service)
     });
-    leading.all(|route| route.kind.may_repeat() && route.max_attempts > 1)
+    leading.all(|route| route.kind.may_retry() && route.max_attempts > 1)
 }
--- a/crates/registrar/src/publish.rs
+++ b/crates/registrar/src/publish.rs
@@ -89,7 +89,7 @@
     loop {
         tokio::time::sleep(ROSTER_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
-        let is_due = shared.roster_pace.borrow_mut().take_due(Instant::now());
+        let is_due = shared.roster_batcher.borrow_mut().take_due(Instant::now());
         if is_due {
             shared.publish_roster();
         }
--- a/crates/registrar/src/shared.rs
+++ b/crates/registrar/src/shared.rs
@@ -11,7 +11,7 @@
 use egretseam_http::DaemonMetrics;
 use egretseam_proto::ModelName;
 use egretseam_rpc::{ControlClient, LinkOptions};
-use egretseam_serving::{EntryRoster, RosterPace, ServingConfig, TargetRegistry};
+use egretseam_serving::{EntryRoster, RosterBatcher, ServingConfig, TargetRegistry};
 use indexmap::IndexMap;
 use prometheus::{IntCounter, IntGauge};
 use std::{
@@ -115,7 +115,7 @@
     pub(crate) members: RefCell<Vec<String>>,
     pub(crate) roster_number: Cell<u64>,
     /// Gathers changes of the entries before the roster is published.
-    pub(crate) roster_pace: RefCell<RosterPace>,
+    pub(crate) roster_batcher: RefCell<RosterBatcher>,
     /// Grows with everything that a reader may wait for.
     pub(crate) news: watch::Sender<u64>,
     client: RefCell<Option<(Vec<String>, Rc<ControlClient>)>>,
@@ -146,7 +146,7 @@
             contents_turn: Mutex::default(),
             members: RefCell::new(members),
             roster_number: Cell::new(1),
-            roster_pace: RefCell::default(),
+            roster_batcher: RefCell::default(),
             news: watch::Sender::new(0),
             client: RefCell::new(None),
             options,
--- a/crates/rpc/src/feed.rs
+++ b/crates/rpc/src/feed.rs
@@ -4,7 +4,7 @@
 use egretseam_delta::PackedDocument;
 use egretseam_proto::{ContentDigest, ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    ConfigWish, EngineNews, EntryRecord, NamedVersion, PeerUpdate, TargetId, TargetNews,
+    ConfigRequest, EngineStatus, EntryRecord, PeerUpdate, PublishedVersion, TargetId, TargetStatus,
 };
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     /// Version of the serving configuration that the reader has.
     pub config_held: u64,
     /// What the reader wants of a newer configuration.
-    pub config_wish: ConfigWish,
+    pub config_wish: ConfigRequest,
     /// How long the answer may wait for news.
     pub wait_millis: u64,
 }
@@ -47,7 +47,7 @@
     /// `host:port` of the feeds of all control members that this one knows.
     pub members: Vec<String>,
     /// Named versions.
-    pub versions: Vec<NamedVersion>,
+    pub versions: Vec<PublishedVersion>,
 }
 
 /// What is new.
@@ -58,11 +58,11 @@
     /// Number of the latest change of targets in this answer.
     pub targets_seen: u64,
     /// Targets that changed.
-    pub targets: Vec<TargetNews>,
+    pub targets: Vec<TargetStatus>,
     /// Targets that left.
     pub gone: Vec<TargetId>,
     /// Engines that changed.
-    pub engines: Vec<EngineNews>,
+    pub engines: Vec<EngineStatus>,
     /// The roster, if it changed.
     pub roster: Option<FeedRoster>,
     /// Version of the serving configuration that this member has applied.
@@ -79,7 +79,7 @@
     /// Its service.
     pub service: ServiceName,
     /// What the agent sees of the engine, if anything is known.
-    pub engine: Option<EngineNews>,
+    pub engine: Option<EngineStatus>,
     /// Run of the member that `seen` was learned from.
     pub run: u64,
     /// Number of the plan that the agent has.
@@ -96,7 +96,7 @@
     /// The model.
     pub model: ModelName,
     /// The newest named version; `None` if none was named yet.
-    pub version: Option<NamedVersion>,
+    pub version: Option<PublishedVersion>,
     /// Address of the origin.
     pub origin: SocketAddr,
     /// Availability zone of the origin.
--- a/crates/serving/src/attempt_limits.rs
+++ b/crates/serving/src/attempt_limits.rs
@@ -17,7 +17,7 @@
 const LONGEST: Duration = Duration::from_millis(1_800);
 /// Time that callers of streams stay without an event, at the least, where settings name none: those
 /// of the first two customers leave after 2.0 to 2.4 s.
-pub const USUAL_STAY: Duration = Duration::from_millis(2_000);
+pub const DEFAULT_STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Shortest time that an attempt has after a long wait all the same: most first bytes after an outage
 /// come within it.
 const SHORTEST_AFTER_WAIT: Duration = Duration::from_millis(600);
@@ -34,7 +34,7 @@
     /// When its caller's time ends.
     pub deadline: Instant,
     /// How long callers of streams stay without an event.
-    pub stay: Duration,
+    pub stream_idle_timeout: Duration,
 }
 
 impl AttemptLimits {
@@ -42,9 +42,11 @@
     ///
     /// Failure guarded: a request was held for the end of an outage and is sent to a target that then
     /// freezes; its caller leaves before the attempt's own limit.
-    pub fn attempt_until(&self, now: Instant) -> Instant {
+    pub fn attempt_deadline(&self, now: Instant) -> Instant {
         let usual = (self.objective * OBJECTIVES).clamp(SHORTEST, LONGEST);
-        let stays = self.stay.saturating_sub(now.saturating_duration_since(self.received_at));
+        let stays = self
+            .stream_idle_timeout
+            .saturating_sub(now.saturating_duration_since(self.received_at));
         let limit =
             if self.awaits_stream { usual.min(stays.max(SHORTEST_AFTER_WAIT)) } else { usual };
         (now + limit).min(self.deadline)
@@ -54,9 +56,9 @@
     ///
     /// Failure guarded: a target that has the request freezes, and another place is waited for until
     /// the caller leaves. It showed as 12 of 13 runs that went on after their callers had left.
-    pub fn wait_until(&self) -> Instant {
+    pub fn wait_deadline(&self) -> Instant {
         if self.awaits_stream {
-            self.deadline.min(self.received_at + self.stay)
+            self.deadline.min(self.received_at + self.stream_idle_timeout)
         } else {
             self.deadline
         }
--- a/crates/serving/src/config.rs
+++ b/crates/serving/src/config.rs
@@ -22,7 +22,7 @@
 
 impl RouteKind {
     /// Whether a request that may have run can be sent again.
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
--- a/crates/serving/src/config_holder.rs
+++ b/crates/serving/src/config_holder.rs
@@ -7,7 +7,7 @@
 
 /// What a reader of a feed wants of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ConfigWish {
+pub enum ConfigRequest {
     /// Nothing but its number.
     Number,
     /// The difference from the version that it holds, if the member can make one.
@@ -18,7 +18,7 @@
 
 /// Why a configuration was not taken.
 #[derive(Debug, Error)]
-pub enum TakeError {
+pub enum ConfigApplyError {
     /// It cannot be restored from what is held.
     #[error(transparent)]
     Unpack(#[from] UnpackError),
@@ -47,12 +47,12 @@
     }
 
     /// What to ask a member for that was last heard to have applied `newest`.
-    pub fn wish(&self, newest: u64) -> ConfigWish {
+    pub fn next_request(&self, newest: u64) -> ConfigRequest {
         match &self.document {
-            None => ConfigWish::Whole,
-            Some(_) if newest <= self.version => ConfigWish::Number,
-            Some(_) if self.needs_whole => ConfigWish::Whole,
-            Some(_) => ConfigWish::Difference,
+            None => ConfigRequest::Whole,
+            Some(_) if newest <= self.version => ConfigRequest::Number,
+            Some(_) if self.needs_whole => ConfigRequest::Whole,
+            Some(_) => ConfigRequest::Difference,
         }
     }
 
@@ -63,14 +63,14 @@
     /// behind would take an entry back to the older one. The version only ever grows in one run.
     ///
     /// # Errors
-    /// See [`TakeError`]. A difference that was overtaken by another member's answer is simply asked
+    /// See [`ConfigApplyError`]. A difference that was overtaken by another member's answer is simply asked
     /// for again; after any other failure the whole is.
-    pub fn take(
+    pub fn apply(
         &mut self,
         base: u64,
         version: u64,
         packed: &PackedDocument,
-    ) -> Result<Option<ServingConfig>, TakeError> {
+    ) -> Result<Option<ServingConfig>, ConfigApplyError> {
         if version <= self.version {
             return Ok(None);
         }
@@ -82,7 +82,10 @@
         Ok(Some(config))
     }
 
-    fn restore(&self, packed: &PackedDocument) -> Result<(Vec<u8>, ServingConfig), TakeError> {
+    fn restore(
+        &self,
+        packed: &PackedDocument,
+    ) -> Result<(Vec<u8>, ServingConfig), ConfigApplyError> {
         let document = packed.unpack(self.document.as_deref())?;
         let config = postcard::from_bytes(&document)?;
         Ok((document, config))
--- a/crates/serving/src/entries.rs
+++ b/crates/serving/src/entries.rs
@@ -1,6 +1,6 @@
 //! Which entries callers may be sent to, by what control members saw of them.
 
-use crate::news::EntryRecord;
+use crate::status::EntryRecord;
 use egretseam_proto::ZoneName;
 use indexmap::IndexMap;
 use std::{net::SocketAddr, time::Duration};
@@ -12,7 +12,7 @@
 
 /// An entry as last seen.
 #[derive(Clone, Debug)]
-pub struct EntrySighting {
+pub struct EntryObservation {
     /// What it said.
     pub record: EntryRecord,
     /// When.
@@ -22,12 +22,12 @@
 /// Entries by name.
 #[derive(Debug, Default)]
 pub struct EntryRoster {
-    rows: IndexMap<String, EntrySighting>,
+    rows: IndexMap<String, EntryObservation>,
 }
 
 impl EntryRoster {
     /// Notes what an entry said of itself.
-    pub fn note(&mut self, record: EntryRecord, seen_at: Instant) -> bool {
+    pub fn apply(&mut self, record: EntryRecord, seen_at: Instant) -> bool {
         let known = self.rows.get(&record.name);
         // A stopping entry never becomes ready again in the same run; a late sighting must not
         // bring it back.
@@ -42,7 +42,7 @@
         }
         let changed = known.is_none_or(|row| row.record != record);
         let seen_at = known.map_or(seen_at, |row| row.seen_at.max(seen_at));
-        self.rows.insert(record.name.clone(), EntrySighting { record, seen_at });
+        self.rows.insert(record.name.clone(), EntryObservation { record, seen_at });
         changed
     }
 
@@ -54,7 +54,7 @@
             let known = merged.rows.get(&record.name);
             let worse = known.is_none_or(|row| row.record.run != record.run || !record.ready);
             if worse {
-                let sighting = EntrySighting { record: record.clone(), seen_at: now };
+                let sighting = EntryObservation { record: record.clone(), seen_at: now };
                 merged.rows.insert(record.name.clone(), sighting);
             }
         }
@@ -69,7 +69,7 @@
     }
 
     /// All entries.
-    pub fn iter(&self) -> impl Iterator<Item = &EntrySighting> {
+    pub fn iter(&self) -> impl Iterator<Item = &EntryObservation> {
         self.rows.values()
     }
 
@@ -78,7 +78,7 @@
     /// Failure guarded: the entry that passes something on to its zone is frozen or cut off, and its zone
     /// hears nothing until that is noticed seconds later. With turns the loss of one entry of ten costs
     /// every tenth round, and nobody has to notice.
-    pub fn one_of_each_zone(&self, round: usize) -> impl Iterator<Item = &EntryRecord> {
+    pub fn one_per_zone(&self, round: usize) -> impl Iterator<Item = &EntryRecord> {
         let mut zones: IndexMap<&ZoneName, Vec<&EntryRecord>> = IndexMap::new();
         for row in self.rows.values() {
             zones.entry(&row.record.zone).or_default().push(&row.record);
@@ -102,7 +102,7 @@
     }
 
     /// Addresses for a caller whom the entries of its own `zone` do not answer: those of others.
-    pub fn addresses_elsewhere(&self, zone: Option<&str>, most: usize) -> Vec<SocketAddr> {
+    pub fn addresses_outside_zone(&self, zone: Option<&str>, most: usize) -> Vec<SocketAddr> {
         let ready = self.rows.values().map(|row| &row.record).filter(|record| record.ready);
         let elsewhere = ready.filter(|record| zone != Some(record.zone.as_str()));
         elsewhere.map(|record| record.address).take(most).collect()
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -22,34 +22,30 @@
 mod config_holder;
 mod entries;
 mod health;
-mod news;
 mod patience;
 mod peer_list;
 mod placement;
 mod raw;
 mod registry;
 mod retry_budget;
-mod roster_pace;
+mod roster_batcher;
 mod route_table;
+mod status;
 mod switch_schedule;
 mod target_table;
 mod wait_queue;
 
 pub use crate::{
-    attempt_limits::{AttemptLimits, USUAL_STAY},
+    attempt_limits::{AttemptLimits, DEFAULT_STREAM_IDLE_TIMEOUT},
     config::{
         CallerLimits, Destination, EngineRecord, OrganisationRecord, OriginRecord, RouteKind,
         RouteRecord, ServiceRecord, ServingConfig,
     },
-    config_holder::{ConfigHolder, ConfigWish, TakeError},
-    entries::{EntryRoster, EntrySighting},
+    config_holder::{ConfigApplyError, ConfigHolder, ConfigRequest},
+    entries::{EntryObservation, EntryRoster},
     health::{AttemptOutcome, TargetHealth},
-    news::{
-        EngineNews, EntryRecord, HeldModel, Incarnation, NamedVersion, TargetId, TargetNews,
-        TargetRecord, TargetState,
-    },
     patience::PatienceTable,
-    peer_list::{PeerList, PeerMap, PeerUpdate, SwarmPeer, apply_peers},
+    peer_list::{PeerList, PeerMap, PeerUpdate, SwarmPeer, apply_peer_updates},
     placement::{Choice, PlacementNeed, PlacementPolicy},
     raw::{
         ConfigError, RawDestination, RawEngine, RawLimits, RawOrganisation, RawOrigin, RawRoute,
@@ -57,9 +53,13 @@
     },
     registry::{AnnounceOutcome, LeaveOutcome, TargetRegistry},
     retry_budget::{RetryBudget, RetryPolicy},
-    roster_pace::RosterPace,
+    roster_batcher::RosterBatcher,
     route_table::{AccessError, KeyHolder, RouteTable},
-    switch_schedule::{OlderVersionUse, OlderVersionView, SwitchSchedule, SwitchTiming},
+    status::{
+        EngineStatus, EntryRecord, HeldModel, Incarnation, PublishedVersion, TargetId,
+        TargetRecord, TargetState, TargetStatus,
+    },
+    switch_schedule::{OlderVersionPolicy, OlderVersionState, SwitchSchedule, SwitchTiming},
     target_table::{LoadSample, TargetTable},
     wait_queue::{WaitClaim, WaitPolicy, WaitQueue, WaitTicket},
 };
--- a/crates/serving/src/peer_list.rs
+++ b/crates/serving/src/peer_list.rs
@@ -47,7 +47,7 @@
 
 impl PeerList {
     /// Number of the latest change; 0 before the first.
-    pub fn number(&self) -> u64 {
+    pub fn change_number(&self) -> u64 {
         self.number
     }
 
@@ -92,7 +92,7 @@
 }
 
 /// Brings an agent's peers to the present; they stay in the order of their addresses.
-pub fn apply_peers(peers: &mut PeerMap, updates: Vec<PeerUpdate>) {
+pub fn apply_peer_updates(peers: &mut PeerMap, updates: Vec<PeerUpdate>) {
     for update in updates {
         match update {
             PeerUpdate::Whole(whole) => {
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -7,7 +7,7 @@
 //! does not see of the others' requests fades from the last sample to the service's mean.
 
 use crate::{
-    news::{TargetId, TargetState},
+    status::{TargetId, TargetState},
     target_table::{TargetRow, TargetTable},
 };
 use egretseam_proto::{ModelName, ServiceName};
--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -1,6 +1,6 @@
 //! What targets announced to one control member.
 
-use crate::news::{EngineNews, Incarnation, TargetId, TargetNews, TargetRecord};
+use crate::status::{EngineStatus, Incarnation, TargetId, TargetRecord, TargetStatus};
 use indexmap::IndexMap;
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnounceOutcome {
     /// Taken in.
-    Taken,
+    Accepted,
     /// Older than what is known; changes nothing.
     Stale,
     /// The same run of the target lives under another service or address; changes nothing.
@@ -45,7 +45,7 @@
 }
 
 struct EngineRow {
-    news: EngineNews,
+    news: EngineStatus,
     seen_at: Instant,
     changed: u64,
 }
@@ -88,7 +88,7 @@
     }
 
     /// Number of the latest change.
-    pub fn number(&self) -> u64 {
+    pub fn change_number(&self) -> u64 {
         self.number
     }
 
@@ -126,7 +126,7 @@
         }
         row.silent = false;
         row.record = record;
-        AnnounceOutcome::Taken
+        AnnounceOutcome::Accepted
     }
 
     /// Adds a run that nothing is known of.
@@ -138,7 +138,7 @@
         let name = record.id.name.clone();
         let row = TargetRow { record, heard_at: now, silent: false, changed: self.number };
         self.rows.insert(name, row);
-        AnnounceOutcome::Taken
+        AnnounceOutcome::Accepted
     }
 
     fn has_left(&self, id: &TargetId) -> bool {
@@ -173,12 +173,12 @@
     }
 
     /// Takes in what an agent sees of its engine. Returns whether that is news.
-    pub fn note_engine(&mut self, news: EngineNews, now: Instant) -> bool {
+    pub fn apply_engine(&mut self, news: EngineStatus, now: Instant) -> bool {
         let seen_at = now.checked_sub(Duration::from_millis(news.age_millis)).unwrap_or(now);
         let known = self.engines.get(&news.address);
         let same = known.is_some_and(|row| {
             let age_millis = row.news.age_millis;
-            row.news == EngineNews { age_millis, ..news.clone() }
+            row.news == EngineStatus { age_millis, ..news.clone() }
         });
         let changed = if same {
             known.map_or(0, |row| row.changed)
@@ -212,8 +212,8 @@
     }
 
     /// Targets that changed after `seen`.
-    pub fn targets_since(&self, seen: u64, now: Instant) -> Vec<TargetNews> {
-        let news = |row: &TargetRow| TargetNews {
+    pub fn targets_since(&self, seen: u64, now: Instant) -> Vec<TargetStatus> {
+        let news = |row: &TargetRow| TargetStatus {
             record: row.record.clone(),
             silent: row.silent,
             age_millis: now.saturating_duration_since(row.heard_at).as_millis() as u64,
@@ -222,8 +222,8 @@
     }
 
     /// Engines that changed after `seen`.
-    pub fn engines_since(&self, seen: u64, now: Instant) -> Vec<EngineNews> {
-        let news = |row: &EngineRow| EngineNews {
+    pub fn engines_since(&self, seen: u64, now: Instant) -> Vec<EngineStatus> {
+        let news = |row: &EngineRow| EngineStatus {
             age_millis: now.saturating_duration_since(row.seen_at).as_millis() as u64,
             ..row.news.clone()
         };
--- a/crates/serving/src/retry_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -51,7 +51,7 @@
     }
 
     /// Counts a request of a caller.
-    pub fn note_request(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.step(now).requests += 1;
     }
 
--- a/crates/serving/src/roster_pace.rs
+++ b/crates/serving/src/roster_batcher.rs
@@ -13,14 +13,14 @@
 
 /// Gathers changes of the list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RosterPace {
+pub struct RosterBatcher {
     /// When the first change came that was not passed on yet.
     changed_at: Option<Instant>,
 }
 
-impl RosterPace {
+impl RosterBatcher {
     /// Notes a change.
-    pub fn note_changed(&mut self, now: Instant) {
+    pub fn record_change(&mut self, now: Instant) {
         self.changed_at.get_or_insert(now);
     }
 
--- a/crates/serving/src/news.rs
+++ b/crates/serving/src/status.rs
@@ -104,7 +104,7 @@
 
 /// A target as a control member passes it on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetNews {
+pub struct TargetStatus {
     /// What it said.
     pub record: TargetRecord,
     /// Whether its announcements have stopped coming.
@@ -115,7 +115,7 @@
 
 /// What an agent sees of the engine beside it; fresher than the engine's own announcements.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineNews {
+pub struct EngineStatus {
     /// The engine's address.
     pub address: SocketAddr,
     /// Which run of the engine was seen, if it says so.
@@ -134,7 +134,7 @@
 
 /// A version of a model that operators have named.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedVersion {
+pub struct PublishedVersion {
     /// The model.
     pub model: ModelName,
     /// The version.
--- a/crates/serving/src/switch_schedule.rs
+++ b/crates/serving/src/switch_schedule.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwitchTiming {
     /// Time from naming a version until no request may begin on an older one.
-    pub bound: Duration,
+    pub staleness_bound: Duration,
     /// Time kept free before the bound for the last answers to end and the weights to load.
     pub reserve: Duration,
 }
@@ -35,13 +35,13 @@
 
 /// What an agent knows when it weighs an older version that it holds whole.
 #[derive(Clone, Copy, Debug)]
-pub struct OlderVersionView {
+pub struct OlderVersionState {
     /// Time since the older version was named.
-    pub since_named: Duration,
+    pub since_published: Duration,
     /// Time since the newest was.
-    pub since_newest: Duration,
+    pub since_newest_published: Duration,
     /// When all chunks of the newest are expected here, if they keep coming.
-    pub newest_whole_in: Option<Duration>,
+    pub newest_complete_in: Option<Duration>,
     /// Whether the engine holds any version at present.
     pub serves: bool,
     /// This instance's turn among all.
@@ -57,34 +57,34 @@
 /// first's bound on nobody may serve the version in use, so engines take the first shortly before,
 /// unless the second will be here in time, and serve it until the second's own bound.
 #[derive(Clone, Copy, Debug)]
-pub struct OlderVersionUse {
+pub struct OlderVersionPolicy {
     timing: SwitchTiming,
 }
 
-impl OlderVersionUse {
+impl OlderVersionPolicy {
     /// The rule with those times.
     pub fn new(timing: SwitchTiming) -> Self {
         Self { timing }
     }
 
     /// Whether an engine should take the older version now.
-    pub fn is_worth(&self, view: &OlderVersionView) -> bool {
-        let usable = self.timing.bound.saturating_sub(LEAVE_AHEAD);
-        let use_left = usable.saturating_sub(view.since_newest + TAKING);
+    pub fn should_switch(&self, view: &OlderVersionState) -> bool {
+        let usable = self.timing.staleness_bound.saturating_sub(LEAVE_AHEAD);
+        let use_left = usable.saturating_sub(view.since_newest_published + TAKING);
         if use_left < SHORTEST_USE {
             return false;
         }
-        let leave_in = usable.saturating_sub(view.since_named);
+        let leave_in = usable.saturating_sub(view.since_published);
         let in_time = if view.serves { leave_in + WORTH_BRIDGING } else { TAKING };
-        if view.newest_whole_in.is_some_and(|whole_in| whole_in <= in_time) {
+        if view.newest_complete_in.is_some_and(|whole_in| whole_in <= in_time) {
             return false;
         }
-        !view.serves || view.since_named >= self.turn(view)
+        !view.serves || view.since_published >= self.turn(view)
     }
 
     /// Time after the older version was named at which an instance may take it.
-    fn turn(&self, view: &OlderVersionView) -> Duration {
-        let last = self.timing.bound.saturating_sub(self.timing.reserve);
+    fn turn(&self, view: &OlderVersionState) -> Duration {
+        let last = self.timing.staleness_bound.saturating_sub(self.timing.reserve);
         let part = view.rank as f64 / view.count.max(1) as f64;
         last.saturating_sub(OLDER_SPREAD) + OLDER_SPREAD.min(last).mul_f64(part)
     }
@@ -104,8 +104,8 @@
 
     /// Time after naming at which the instance of `rank` among `count` may switch whose chunks were
     /// all there so long after naming.
-    pub fn turn(&self, ready: Duration, rank: usize, count: usize) -> Duration {
-        let last = self.timing.bound.saturating_sub(self.timing.reserve);
+    pub fn switch_offset(&self, ready: Duration, rank: usize, count: usize) -> Duration {
+        let last = self.timing.staleness_bound.saturating_sub(self.timing.reserve);
         let part = rank as f64 / count.max(1) as f64;
         ready + last.saturating_sub(ready).mul_f64(part)
     }
--- a/crates/serving/src/target_table.rs
+++ b/crates/serving/src/target_table.rs
@@ -10,8 +10,8 @@
 use self::row::{Sighting, told_at};
 use crate::{
     health::AttemptOutcome,
-    news::{EngineNews, Incarnation, NamedVersion, TargetId, TargetNews, TargetState},
     placement::PlacementPolicy,
+    status::{EngineStatus, Incarnation, PublishedVersion, TargetId, TargetState, TargetStatus},
 };
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use indexmap::IndexMap;
@@ -56,7 +56,7 @@
     current: IndexMap<String, Incarnation>,
     /// The last run under a name that left, and when that was heard.
     gone: IndexMap<String, (Incarnation, Instant)>,
-    engines: IndexMap<SocketAddr, (EngineNews, Instant)>,
+    engines: IndexMap<SocketAddr, (EngineStatus, Instant)>,
     /// Runs by their address, which samples of load and news of engines name: two thousand samples a
     /// second at 184 targets. One takes 0.13 us to note at 1,000 targets, and 1.07 us by a search of
     /// all rows (`egretseam-bench slopes`).
@@ -100,7 +100,7 @@
     }
 
     /// Takes in what control member `source` passes on about a target.
-    pub fn note_target(&mut self, source: u32, news: &TargetNews, now: Instant) {
+    pub fn note_target(&mut self, source: u32, news: &TargetStatus, now: Instant) {
         let id = &news.record.id;
         if self.is_outdated(id, now) {
             return;
@@ -147,7 +147,7 @@
 
     /// Adds a run and drops the row of any other one under its name, with all that was learned of
     /// it.
-    fn add(&mut self, news: &TargetNews, now: Instant) {
+    fn add(&mut self, news: &TargetStatus, now: Instant) {
         let id = &news.record.id;
         if let Some(former) = self.current.get(&id.name).copied() {
             self.forget(&TargetId::new(&id.name, former));
@@ -164,7 +164,7 @@
     }
 
     /// Takes in what an agent sees of its engine.
-    pub fn note_engine(&mut self, news: &EngineNews, now: Instant) {
+    pub fn note_engine(&mut self, news: &EngineStatus, now: Instant) {
         let seen_at = told_at(news.age_millis, now);
         if self.engines.get(&news.address).is_some_and(|(_, held_at)| *held_at > seen_at) {
             return;
@@ -173,7 +173,7 @@
         self.apply_engine(news, seen_at);
     }
 
-    fn apply_engine(&mut self, news: &EngineNews, seen_at: Instant) {
+    fn apply_engine(&mut self, news: &EngineStatus, seen_at: Instant) {
         for id in self.by_address.get(&news.address).into_iter().flatten() {
             if let Some(row) = self.rows.get_mut(id) {
                 row.note_engine(news, seen_at);
@@ -242,7 +242,7 @@
     }
 
     /// Notes a named version; from `limit` after it was named no request may begin on an older one.
-    pub fn note_version(&mut self, named: &NamedVersion, limit: Duration, now: Instant) {
+    pub fn note_version(&mut self, named: &PublishedVersion, limit: Duration, now: Instant) {
         let floors = self.floors.entry(named.model.clone()).or_default();
         if floors.iter().any(|floor| floor.version == named.version) {
             return;
--- a/crates/serving/src/target_table/row.rs
+++ b/crates/serving/src/target_table/row.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     health::TargetHealth,
-    news::{EngineNews, HeldModel, Incarnation, TargetNews, TargetRecord},
+    status::{EngineStatus, HeldModel, Incarnation, TargetRecord, TargetStatus},
 };
 use egretseam_proto::ModelName;
 use indexmap::IndexMap;
@@ -101,7 +101,7 @@
 }
 
 impl TargetRow {
-    pub(super) fn new(news: &TargetNews, now: Instant) -> Self {
+    pub(super) fn new(news: &TargetStatus, now: Instant) -> Self {
         let said_at = told_at(news.age_millis, now);
         Self {
             record: news.record.clone(),
@@ -140,7 +140,7 @@
     /// former run is taken for the later one's. It would show as requests that the engine refuses
     /// for want of weights. Where both runs are stated they must be the same; a later run at the
     /// address means that this one holds nothing any more.
-    pub(super) fn note_engine(&mut self, news: &EngineNews, seen_at: Instant) {
+    pub(super) fn note_engine(&mut self, news: &EngineStatus, seen_at: Instant) {
         let own = self.record.id.incarnation;
         let stated = own != Incarnation::UNSTATED && news.incarnation != Incarnation::UNSTATED;
         if stated && news.incarnation < own {
--- a/crates/stager/src/follow.rs
+++ b/crates/stager/src/follow.rs
@@ -6,7 +6,7 @@
 };
 use egretseam_proto::ZoneName;
 use egretseam_rpc::{AgentCall, AgentReply, FeedLink, LinkOptions, WeightsPlan};
-use egretseam_serving::{PeerMap, SwarmPeer, apply_peers};
+use egretseam_serving::{PeerMap, SwarmPeer, apply_peer_updates};
 use std::{net::SocketAddr, rc::Weak, time::Duration};
 use tokio::time::Instant;
 
@@ -119,7 +119,7 @@
     fn take(&mut self, shared: &StagerShared, reply: AgentReply) {
         (self.run, self.seen, self.peers_seen) = (reply.run, reply.seen, reply.peers_seen);
         let has_peers = !reply.peers.is_empty();
-        apply_peers(&mut self.peers, reply.peers);
+        apply_peer_updates(&mut self.peers, reply.peers);
         let peers = || {
             let peer = |(target, zone): (&SocketAddr, &ZoneName)| SwarmPeer {
                 target: *target,
--- a/crates/stager/src/older.rs
+++ b/crates/stager/src/older.rs
@@ -3,7 +3,7 @@
 //! Answers the load pattern of versions that are named in quick succession while the origin goes
 //! away: the chunks of the first are spread over the agents already, those of the second cannot be
 //! had, and once the first's bound is over nobody may serve. What is held of the first is kept and
-//! completed from other agents; [`OlderVersionUse`] says when it is worth a switch.
+//! completed from other agents; [`OlderVersionPolicy`] says when it is worth a switch.
 
 use crate::{
     chunks::HeldWeights,
@@ -14,7 +14,7 @@
     work,
 };
 use egretseam_rpc::WeightsKey;
-use egretseam_serving::{OlderVersionUse, OlderVersionView};
+use egretseam_serving::{OlderVersionPolicy, OlderVersionState};
 use std::{
     rc::{Rc, Weak},
     time::Duration,
@@ -107,11 +107,12 @@
         }
         let whole =
             shared.chunks.borrow().get(&older.key).is_some_and(|weights| weights.held().is_full());
-        let rule = OlderVersionUse::new(shared.options.timing);
-        if whole && rule.is_worth(&view(&shared, &older, &plan)) {
+        let rule = OlderVersionPolicy::new(shared.options.timing);
+        if whole && rule.should_switch(&view(&shared, &older, &plan)) {
             tracing::info!(version = older.key.version, "the older version is taken meanwhile");
             let timing = shared.options.timing;
-            let drain_until = older.named_at + timing.bound.saturating_sub(timing.reserve / 2);
+            let drain_until =
+                older.named_at + timing.staleness_bound.saturating_sub(timing.reserve / 2);
             if switch::take(&shared, &older.key, plan.plan.may_cut, drain_until).await {
                 *shared.reached.borrow_mut() = Some(older);
             }
@@ -126,15 +127,15 @@
     newest_is_here || plan.plan.model != older.key.model || switch::holds(shared, &older.key)
 }
 
-fn view(shared: &StagerShared, older: &OlderVersion, plan: &HeldPlan) -> OlderVersionView {
+fn view(shared: &StagerShared, older: &OlderVersion, plan: &HeldPlan) -> OlderVersionState {
     let now = Instant::now();
     let (rank, count) = ranks::rank(shared, plan);
     let chunks = shared.chunks.borrow();
     let expected = |weights: &HeldWeights| weights.expected_whole(now);
-    OlderVersionView {
-        since_named: now.saturating_duration_since(older.named_at),
-        since_newest: now.saturating_duration_since(plan.named_at),
-        newest_whole_in: chunks.get(&plan.key()).and_then(expected),
+    OlderVersionState {
+        since_published: now.saturating_duration_since(older.named_at),
+        since_newest_published: now.saturating_duration_since(plan.named_at),
+        newest_complete_in: chunks.get(&plan.key()).and_then(expected),
         serves: work::serves(shared, plan),
         rank,
         count,
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -13,7 +13,7 @@
 use egretseam_h1::{CallReply, CallRequest, ExchangeError, KeptClient};
 use egretseam_http::DaemonMetrics;
 use egretseam_rpc::{WeightsKey, WeightsPlan};
-use egretseam_serving::{EngineNews, HeldModel, Incarnation, SwarmPeer};
+use egretseam_serving::{EngineStatus, HeldModel, Incarnation, SwarmPeer};
 use egretseam_swarm::PathProbe;
 use prometheus::IntCounter;
 use std::{
@@ -248,10 +248,10 @@
     }
 
     /// What to tell control of the engine.
-    pub(crate) fn engine_news(&self) -> Option<EngineNews> {
+    pub(crate) fn engine_news(&self) -> Option<EngineStatus> {
         let report = self.report.borrow();
         let report = report.as_ref()?;
-        Some(EngineNews {
+        Some(EngineStatus {
             address: self.options.target,
             incarnation: report.incarnation,
             models: report.models.clone(),
--- a/crates/stager/src/work.rs
+++ b/crates/stager/src/work.rs
@@ -80,7 +80,8 @@
     }
     await_turn(shared, wanted).await;
     let timing = shared.options.timing;
-    let drain_until = due_from(shared, wanted) + timing.bound.saturating_sub(timing.reserve / 2);
+    let drain_until =
+        due_from(shared, wanted) + timing.staleness_bound.saturating_sub(timing.reserve / 2);
     switch::take(shared, key, wanted.plan.may_cut, drain_until).await;
 }
 
@@ -167,7 +168,8 @@
     }
     let (rank, count) = ranks::rank(shared, wanted);
     let due_from = due_from(shared, wanted);
-    let turn = SwitchSchedule::new(shared.options.timing).turn(due_from.elapsed(), rank, count);
+    let turn =
+        SwitchSchedule::new(shared.options.timing).switch_offset(due_from.elapsed(), rank, count);
     tracing::info!(
         rank,
         of = count,
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -4,8 +4,9 @@
 use crate::batch_engine::{BatchEngine, EngineEvent, EngineModel};
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AttemptOutcome, Choice, EngineNews, HeldModel, Incarnation, PlacementNeed, PlacementPolicy,
-    TargetId, TargetNews, TargetRecord, TargetState, TargetTable, WaitClaim, WaitPolicy, WaitQueue,
+    AttemptOutcome, Choice, EngineStatus, HeldModel, Incarnation, PlacementNeed, PlacementPolicy,
+    TargetId, TargetRecord, TargetState, TargetStatus, TargetTable, WaitClaim, WaitPolicy,
+    WaitQueue,
 };
 use indexmap::{IndexMap, IndexSet};
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
@@ -142,7 +143,7 @@
             }
             for number in 0..script.engines {
                 let record = target_record(number, &script, &service, &model, &zone);
-                table.note_target(0, &TargetNews { record, silent: false, age_millis: 0 }, now);
+                table.note_target(0, &TargetStatus { record, silent: false, age_millis: 0 }, now);
             }
             LoadEntry { table, queue: WaitQueue::new(script.waiting) }
         };
@@ -198,7 +199,7 @@
         self.in_outage = in_outage;
         let held = HeldModel { model: self.model.clone(), version: 1 };
         for number in 0..self.engines.len() {
-            let news = EngineNews {
+            let news = EngineStatus {
                 address: address(number),
                 incarnation: Incarnation::UNSTATED,
                 models: vec![held.clone()],
--- a/tests/all/fleet/narrow_link.rs
+++ b/tests/all/fleet/narrow_link.rs
@@ -193,7 +193,7 @@
         upload_bytes_per_second: 1_000_000,
         fetches_early: true,
         finishes_older: true,
-        timing: SwitchTiming { bound: Duration::ZERO, reserve: Duration::ZERO },
+        timing: SwitchTiming { staleness_bound: Duration::ZERO, reserve: Duration::ZERO },
     };
     let listeners = StagerListeners { chunks };
     let metrics = DaemonMetrics::new();
--- a/tests/all/incarnations.rs
+++ b/tests/all/incarnations.rs
@@ -3,7 +3,7 @@
 use crate::serving_tables::{choose, held, news};
 use egretseam_proto::{ServiceName, ZoneName};
 use egretseam_serving::{
-    AnnounceOutcome, AttemptOutcome, Choice, EngineNews, Incarnation, LeaveOutcome,
+    AnnounceOutcome, AttemptOutcome, Choice, EngineStatus, Incarnation, LeaveOutcome,
     PlacementPolicy, TargetId, TargetRecord, TargetRegistry, TargetState, TargetTable,
 };
 use proptest::prelude::*;
@@ -55,13 +55,13 @@
     let now = Instant::now();
     let mut registry = TargetRegistry::new(SILENCE);
     registry.announce(ready(run(1), 40), now);
-    assert_eq!(registry.announce(ready(run(2), 1), now), AnnounceOutcome::Taken);
+    assert_eq!(registry.announce(ready(run(2), 1), now), AnnounceOutcome::Accepted);
     assert_eq!(registry.current("i-1"), Some(&id(run(2))));
     assert_eq!(registry.gone_since(0), [id(run(1))], "readers are told that the former run ended");
     // Also one that had left.
     assert_eq!(registry.remove(&id(run(2)), now), LeaveOutcome::Gone);
     assert_eq!(registry.announce(ready(run(2), 2), now), AnnounceOutcome::Stale);
-    assert_eq!(registry.announce(ready(run(3), 1), now), AnnounceOutcome::Taken);
+    assert_eq!(registry.announce(ready(run(3), 1), now), AnnounceOutcome::Accepted);
     assert_eq!(registry.live().count(), 1);
 }
 
@@ -72,12 +72,12 @@
     let now = Instant::now();
     let mut registry = TargetRegistry::new(SILENCE);
     registry.announce(ready(run(2), 1), now);
-    let seen = registry.number();
+    let seen = registry.change_number();
     let late = record(run(1), 900, TargetState::Draining);
     assert_eq!(registry.announce(late, now), AnnounceOutcome::Stale);
     assert_eq!(registry.announce(ready(FIRST, 900), now), AnnounceOutcome::Stale);
     assert_eq!(registry.remove(&id(run(1)), now), LeaveOutcome::Stale);
-    assert_eq!(registry.number(), seen, "readers are told nothing");
+    assert_eq!(registry.change_number(), seen, "readers are told nothing");
     assert_eq!(registry.live().count(), 1);
 }
 
@@ -96,7 +96,7 @@
         ..ready(run(1), 2)
     };
     assert_eq!(registry.announce(other, now), AnnounceOutcome::Conflicting);
-    assert_eq!(registry.announce(ready(run(1), 2), now), AnnounceOutcome::Taken);
+    assert_eq!(registry.announce(ready(run(1), 2), now), AnnounceOutcome::Accepted);
     assert_eq!(registry.live().next().map(|row| row.address), Some(address()));
 }
 
@@ -135,7 +135,7 @@
 async fn engines_are_told_apart_by_their_runs() {
     let now = Instant::now();
     let mut table = empty_table();
-    let engine = |incarnation, models| EngineNews {
+    let engine = |incarnation, models| EngineStatus {
         address: address(),
         incarnation,
         models,
@@ -166,7 +166,7 @@
     registry.announce(ready(run(5), 1), now);
     table.note_target(0, &registry.targets_since(0, now)[0], now);
     let mut at = now;
-    let mut seen = registry.number();
+    let mut seen = registry.change_number();
     for sequence in 1..61 {
         at += Duration::from_secs(1);
         registry.announce(ready(run(3), sequence), at);
@@ -174,10 +174,10 @@
         for news in registry.targets_since(seen, at) {
             table.note_target(0, &news, at);
         }
-        seen = registry.number();
+        seen = registry.change_number();
     }
     at += Duration::from_secs(1);
-    assert_eq!(registry.announce(ready(run(3), 61), at), AnnounceOutcome::Taken);
+    assert_eq!(registry.announce(ready(run(3), 61), at), AnnounceOutcome::Accepted);
     table.note_target(0, &registry.targets_since(seen, at)[0], at);
     assert_eq!(choose(&table, &[], at), Choice::Target(id(run(3))));
 }
@@ -251,7 +251,7 @@
             for news in members[at].targets_since(seen[at], now) {
                 table.note_target(at as u32, &news, now);
             }
-            seen[at] = members[at].number();
+            seen[at] = members[at].change_number();
         }
         prop_assert_eq!(choose(&table, &[], now), Choice::Target(id(run(3))));
         prop_assert!(table.is_ready("i-1"));
--- a/tests/all/peer_lists.rs
+++ b/tests/all/peer_lists.rs
@@ -2,7 +2,7 @@
 
 use crate::serving_tables::address;
 use egretseam_proto::ZoneName;
-use egretseam_serving::{PeerList, PeerMap, PeerUpdate, apply_peers};
+use egretseam_serving::{PeerList, PeerMap, PeerUpdate, apply_peer_updates};
 use proptest::prelude::*;
 
 /// Instances that are added within seconds of each other.
@@ -33,8 +33,8 @@
         assert!(list.set(peers(1..=count)));
         let updates = list.updates_since(seen);
         bytes += wire_size(&updates);
-        apply_peers(&mut agent, updates);
-        seen = list.number();
+        apply_peer_updates(&mut agent, updates);
+        seen = list.change_number();
     }
     assert_eq!(agent, peers(1..=ADDED));
     let whole = wire_size(&list.updates_since(0));
@@ -49,7 +49,7 @@
     }
     assert!(matches!(list.updates_since(3)[..], [PeerUpdate::Whole(_)]));
     assert!(!list.set(peers(1..=ADDED)), "nothing changed");
-    assert!(list.updates_since(list.number()).is_empty());
+    assert!(list.updates_since(list.change_number()).is_empty());
 }
 
 proptest! {
@@ -68,8 +68,8 @@
             let now = peers(hosts);
             list.set(now.clone());
             if reads {
-                apply_peers(&mut agent, list.updates_since(seen));
-                seen = list.number();
+                apply_peer_updates(&mut agent, list.updates_since(seen));
+                seen = list.change_number();
                 prop_assert_eq!(&agent, &now);
             }
         }
--- a/tests/all/plan_following.rs
+++ b/tests/all/plan_following.rs
@@ -74,7 +74,7 @@
         upload_bytes_per_second: 1_000_000,
         fetches_early: true,
         finishes_older: true,
-        timing: SwitchTiming { bound: Duration::ZERO, reserve: Duration::ZERO },
+        timing: SwitchTiming { staleness_bound: Duration::ZERO, reserve: Duration::ZERO },
     };
     let metrics = DaemonMetrics::new();
     let listeners = StagerListeners { chunks };
--- a/tests/all/serving_documents.rs
+++ b/tests/all/serving_documents.rs
@@ -5,7 +5,7 @@
     CatalogCommand, CatalogReply, CatalogState, LogTime, ServingChange, StampedCommand,
 };
 use egretseam_delta::{DocumentHistory, PackedDocument, UnpackError};
-use egretseam_serving::{ConfigHolder, ConfigWish, ServingConfig, TakeError};
+use egretseam_serving::{ConfigApplyError, ConfigHolder, ConfigRequest, ServingConfig};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use std::sync::LazyLock;
@@ -132,23 +132,26 @@
 #[test]
 fn an_entry_whose_base_is_another_asks_for_the_whole() {
     let mut holder = ConfigHolder::default();
-    assert_eq!(holder.wish(0), ConfigWish::Whole);
-    let taken = holder.take(0, 1, &PackedDocument::whole(&document(1))).expect("whole");
+    assert_eq!(holder.next_request(0), ConfigRequest::Whole);
+    let taken = holder.apply(0, 1, &PackedDocument::whole(&document(1))).expect("whole");
     assert_eq!(taken.expect("newer").version, 1);
-    assert_eq!(holder.wish(1), ConfigWish::Number);
-    assert_eq!(holder.wish(3), ConfigWish::Difference);
+    assert_eq!(holder.next_request(1), ConfigRequest::Number);
+    assert_eq!(holder.next_request(3), ConfigRequest::Difference);
 
     let foreign = PackedDocument::difference(&document(3), &document(9));
-    let refused = holder.take(1, 3, &foreign);
-    assert!(matches!(refused, Err(TakeError::Unpack(UnpackError::OtherBase))));
+    let refused = holder.apply(1, 3, &foreign);
+    assert!(matches!(refused, Err(ConfigApplyError::Unpack(UnpackError::OtherBase))));
     assert_eq!(holder.version(), 1, "nothing was taken");
-    assert_eq!(holder.wish(3), ConfigWish::Whole);
-    holder.take(1, 3, &member([3]).packed_for(None).expect("whole")).expect("restored");
-    assert_eq!((holder.version(), holder.wish(3)), (3, ConfigWish::Number));
+    assert_eq!(holder.next_request(3), ConfigRequest::Whole);
+    holder.apply(1, 3, &member([3]).packed_for(None).expect("whole")).expect("restored");
+    assert_eq!((holder.version(), holder.next_request(3)), (3, ConfigRequest::Number));
 
     let overtaken = PackedDocument::difference(&document(4), &document(1));
-    assert!(holder.take(1, 4, &overtaken).is_err(), "made for what was held when it was asked for");
-    assert_eq!(holder.wish(4), ConfigWish::Difference);
+    assert!(
+        holder.apply(1, 4, &overtaken).is_err(),
+        "made for what was held when it was asked for"
+    );
+    assert_eq!(holder.next_request(4), ConfigRequest::Difference);
 }
 
 /// A reader that is further behind than a member remembers gets the whole.
@@ -223,7 +226,7 @@
         let mut on_the_way: Vec<(usize, u64, u64, PackedDocument)> = Vec::new();
         let deliver = |holder: &mut ConfigHolder, base, version, packed: &PackedDocument| {
             let before = holder.version();
-            if let Ok(Some(config)) = holder.take(base, version, packed) {
+            if let Ok(Some(config)) = holder.apply(base, version, packed) {
                 assert!(config.version > before);
                 assert_eq!(encoded(&config), document(version));
             }
@@ -234,10 +237,10 @@
             heard[reading.member] = applied;
             let held = holder.version();
             let history = member(1..=applied);
-            let packed = match holder.wish(applied) {
-                ConfigWish::Number => None,
-                ConfigWish::Difference => history.packed_for(Some(held)),
-                ConfigWish::Whole => history.packed_for(None),
+            let packed = match holder.next_request(applied) {
+                ConfigRequest::Number => None,
+                ConfigRequest::Difference => history.packed_for(Some(held)),
+                ConfigRequest::Whole => history.packed_for(None),
             };
             if let Some(packed) = packed {
                 on_the_way.push((reading.delayed_by, held, applied, packed));
@@ -254,10 +257,10 @@
         let newest = member(1..=NEWEST);
         for _ in 0..2 {
             let held = holder.version();
-            let packed = match holder.wish(NEWEST) {
-                ConfigWish::Number => break,
-                ConfigWish::Difference => newest.packed_for(Some(held)),
-                ConfigWish::Whole => newest.packed_for(None),
+            let packed = match holder.next_request(NEWEST) {
+                ConfigRequest::Number => break,
+                ConfigRequest::Difference => newest.packed_for(Some(held)),
+                ConfigRequest::Whole => newest.packed_for(None),
             };
             deliver(&mut holder, held, NEWEST, &packed.expect("there is one"));
         }
--- a/tests/all/serving_tables.rs
+++ b/tests/all/serving_tables.rs
@@ -2,9 +2,9 @@
 
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AnnounceOutcome, AttemptOutcome, Choice, EngineNews, EntryRecord, EntryRoster, HeldModel,
-    Incarnation, PlacementNeed, PlacementPolicy, RosterPace, TargetId, TargetNews, TargetRecord,
-    TargetRegistry, TargetState, TargetTable,
+    AnnounceOutcome, AttemptOutcome, Choice, EngineStatus, EntryRecord, EntryRoster, HeldModel,
+    Incarnation, PlacementNeed, PlacementPolicy, RosterBatcher, TargetId, TargetRecord,
+    TargetRegistry, TargetState, TargetStatus, TargetTable,
 };
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
@@ -45,8 +45,8 @@
     }
 }
 
-pub(crate) fn news(record: TargetRecord) -> TargetNews {
-    TargetNews { record, silent: false, age_millis: 0 }
+pub(crate) fn news(record: TargetRecord) -> TargetStatus {
+    TargetStatus { record, silent: false, age_millis: 0 }
 }
 
 pub(crate) fn table(hosts: &[u8], now: Instant) -> TargetTable {
@@ -58,8 +58,8 @@
 }
 
 /// What the agent beside a host says of its link.
-pub(crate) fn link_news(host: u8, link_delay_millis: u64) -> EngineNews {
-    EngineNews {
+pub(crate) fn link_news(host: u8, link_delay_millis: u64) -> EngineStatus {
+    EngineStatus {
         address: address(host),
         incarnation: Incarnation::UNSTATED,
         models: held(1),
@@ -95,7 +95,10 @@
 async fn stale_announcements_never_bring_a_target_back() {
     let now = Instant::now();
     let mut registry = TargetRegistry::new(SILENCE);
-    assert_eq!(registry.announce(record(1, 2, TargetState::Draining), now), AnnounceOutcome::Taken);
+    assert_eq!(
+        registry.announce(record(1, 2, TargetState::Draining), now),
+        AnnounceOutcome::Accepted
+    );
     assert_eq!(registry.announce(record(1, 1, TargetState::Ready), now), AnnounceOutcome::Stale);
     assert_eq!(registry.announce(record(1, 3, TargetState::Ready), now), AnnounceOutcome::Stale);
     registry.remove(&id(1), now);
@@ -112,7 +115,7 @@
     let now = Instant::now();
     let mut registry = TargetRegistry::new(SILENCE);
     registry.announce(record(1, 1, TargetState::Ready), now);
-    let seen = registry.number();
+    let seen = registry.change_number();
     registry.announce(record(1, 2, TargetState::Ready), now);
     assert!(registry.targets_since(seen, now).is_empty(), "only the sequence number changed");
     let later = now + SILENCE + Duration::from_millis(1);
@@ -205,8 +208,8 @@
     let listed = vec![entry(1, "z1"), entry(2, "z1"), entry(3, "z2"), entry(4, "z3")];
     let roster = EntryRoster::merged([&listed].into_iter(), Instant::now());
     assert_eq!(roster.addresses(Some("z1"), 64), [address(1), address(2)]);
-    assert_eq!(roster.addresses_elsewhere(Some("z1"), 64), [address(3), address(4)]);
-    assert_eq!(roster.addresses_elsewhere(Some("z1"), 1), [address(3)]);
+    assert_eq!(roster.addresses_outside_zone(Some("z1"), 64), [address(3), address(4)]);
+    assert_eq!(roster.addresses_outside_zone(Some("z1"), 1), [address(3)]);
 }
 
 /// What users would see: all entries of a zone send to targets that are full. The entry that passes
@@ -226,7 +229,7 @@
     let roster = EntryRoster::merged([&listed].into_iter(), Instant::now());
     let mut turns = [0_u32; 13];
     for round in 0..20 {
-        let chosen: Vec<&EntryRecord> = roster.one_of_each_zone(round).collect();
+        let chosen: Vec<&EntryRecord> = roster.one_per_zone(round).collect();
         assert_eq!(chosen.len(), 2, "one of each zone");
         assert_ne!(chosen[0].zone, chosen[1].zone);
         for record in chosen {
@@ -246,12 +249,12 @@
 async fn entries_that_start_together_are_passed_on_together() {
     let start = Instant::now();
     let tick = Duration::from_millis(50);
-    let mut pace = RosterPace::default();
+    let mut pace = RosterBatcher::default();
     let (mut sent, mut last_sent) = (0, start);
     for millis in 0..600 {
         let now = start + Duration::from_millis(millis);
         if millis < 300 && millis % 2 == 0 {
-            pace.note_changed(now);
+            pace.record_change(now);
         }
         let is_tick = Duration::from_millis(millis % 50).is_zero();
         if is_tick && pace.take_due(now) {
--- a/tests/all/versions.rs
+++ b/tests/all/versions.rs
@@ -2,8 +2,8 @@
 
 use crate::serving_tables::{address, choose, held, id, model, news, record, service, table};
 use egretseam_serving::{
-    AttemptOutcome, Choice, EngineNews, Incarnation, NamedVersion, OlderVersionUse,
-    OlderVersionView, SwitchSchedule, SwitchTiming, TargetState,
+    AttemptOutcome, Choice, EngineStatus, Incarnation, OlderVersionPolicy, OlderVersionState,
+    PublishedVersion, SwitchSchedule, SwitchTiming, TargetState,
 };
 use egretseam_swarm::ChunkPace;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 async fn targets_with_old_weights_get_nothing_after_the_bound() {
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
-    let named = |version, age_millis| NamedVersion { model: model(), version, age_millis };
+    let named = |version, age_millis| PublishedVersion { model: model(), version, age_millis };
     table.note_version(&named(2, 0), VERSION_LIMIT, now);
     table.note_version(&named(3, 0), VERSION_LIMIT, now + Duration::from_secs(4));
     assert!(matches!(choose(&table, &[], now), Choice::Target(_)));
-    let engine = |version, loading| EngineNews {
+    let engine = |version, loading| EngineStatus {
         address: address(2),
         incarnation: Incarnation::UNSTATED,
         models: held(version),
@@ -51,7 +51,7 @@
     let now = Instant::now();
     let mut table = table(&[1], now);
     table.note_version(
-        &NamedVersion { model: model(), version: 2, age_millis: 0 },
+        &PublishedVersion { model: model(), version: 2, age_millis: 0 },
         VERSION_LIMIT,
         now,
     );
@@ -74,11 +74,11 @@
     let (target, model) = (id(1), model());
     assert_eq!(table.leave_by(&target, &model), None);
     for (version, later) in [(2, 0), (3, 4)] {
-        let named = NamedVersion { model: model.clone(), version, age_millis: 0 };
+        let named = PublishedVersion { model: model.clone(), version, age_millis: 0 };
         table.note_version(&named, VERSION_LIMIT, now + Duration::from_secs(later));
     }
     assert_eq!(table.leave_by(&target, &model), Some(now + VERSION_LIMIT));
-    let switched = EngineNews {
+    let switched = EngineStatus {
         address: address(1),
         incarnation: Incarnation::UNSTATED,
         models: held(2),
@@ -95,7 +95,7 @@
 async fn an_agent_is_believed_over_an_older_announcement() {
     let now = Instant::now();
     let mut table = table(&[1], now);
-    let fresh = EngineNews {
+    let fresh = EngineStatus {
         address: address(1),
         incarnation: Incarnation::UNSTATED,
         models: vec![],
@@ -115,11 +115,13 @@
 
 #[test]
 fn turns_are_spread_over_the_time_before_the_bound() {
-    let timing = SwitchTiming { bound: Duration::from_secs(8), reserve: Duration::from_secs(2) };
+    let timing =
+        SwitchTiming { staleness_bound: Duration::from_secs(8), reserve: Duration::from_secs(2) };
     let schedule = SwitchSchedule::new(timing);
     for ready in [0, 3, 5] {
         let ready = Duration::from_secs(ready);
-        let turns: Vec<Duration> = (0..6).map(|rank| schedule.turn(ready, rank, 6)).collect();
+        let turns: Vec<Duration> =
+            (0..6).map(|rank| schedule.switch_offset(ready, rank, 6)).collect();
         assert_eq!(turns[0], ready);
         let step = (Duration::from_secs(6) - ready) / 6;
         let even =
@@ -128,7 +130,7 @@
         assert!(turns[5] < Duration::from_secs(6));
     }
     let late = Duration::from_secs(7);
-    assert_eq!(schedule.turn(late, 5, 6), late, "too late to wait");
+    assert_eq!(schedule.switch_offset(late, 5, 6), late, "too late to wait");
 }
 
 /// What users would see: an answer from weights that operators replaced long ago. The link of one
@@ -139,7 +141,7 @@
     let start = Instant::now();
     let millis = Duration::from_millis;
     let mut table = table(&[1, 2, 3, 4], start);
-    let named = NamedVersion { model: model(), version: 2, age_millis: 0 };
+    let named = PublishedVersion { model: model(), version: 2, age_millis: 0 };
     table.note_version(&named, VERSION_LIMIT, start);
     for host in 1..=4 {
         table.begin(&id(host), start);
@@ -151,7 +153,7 @@
     table.begin(&id(2), start + millis(1_400));
     table.end(&id(2), AttemptOutcome::Unreachable, start + millis(2_400));
     // The agent beside the third finds its link slow.
-    let narrow = EngineNews {
+    let narrow = EngineStatus {
         address: address(3),
         incarnation: Incarnation::UNSTATED,
         models: held(1),
@@ -161,7 +163,7 @@
         age_millis: 0,
     };
     table.note_engine(&narrow, start + millis(2_500));
-    table.note_engine(&EngineNews { link_delay_millis: 0, ..narrow }, start + millis(2_600));
+    table.note_engine(&EngineStatus { link_delay_millis: 0, ..narrow }, start + millis(2_600));
     // Four seconds without a request to any: what was measured is old.
     let before = start + VERSION_LIMIT - millis(1_200);
     for _ in 0..40 {
@@ -170,11 +172,11 @@
     }
 }
 
-fn older_view() -> OlderVersionView {
-    OlderVersionView {
-        since_named: Duration::from_millis(6_500),
-        since_newest: Duration::from_millis(4_500),
-        newest_whole_in: None,
+fn older_view() -> OlderVersionState {
+    OlderVersionState {
+        since_published: Duration::from_millis(6_500),
+        since_newest_published: Duration::from_millis(4_500),
+        newest_complete_in: None,
         serves: true,
         rank: 0,
         count: 24,
@@ -187,30 +189,31 @@
 #[test]
 fn an_overtaken_version_is_taken_where_the_newest_is_late() {
     let bound = Duration::from_secs(8);
-    let timing = SwitchTiming { bound, reserve: Duration::from_millis(1_600) };
-    let rule = OlderVersionUse::new(timing);
+    let timing = SwitchTiming { staleness_bound: bound, reserve: Duration::from_millis(1_600) };
+    let rule = OlderVersionPolicy::new(timing);
     let millis = Duration::from_millis;
-    assert!(rule.is_worth(&older_view()));
+    assert!(rule.should_switch(&older_view()));
     // In turns, so that not all engines are out at once, and all before the bound.
-    let at = |since_named, rank| OlderVersionView { since_named, rank, ..older_view() };
-    assert!(!rule.is_worth(&at(millis(4_000), 0)), "the newest may still come");
-    let out_at =
-        |since_named| (0..24).filter(|rank| rule.is_worth(&at(since_named, *rank))).count();
+    let at = |since_published, rank| OlderVersionState { since_published, rank, ..older_view() };
+    assert!(!rule.should_switch(&at(millis(4_000), 0)), "the newest may still come");
+    let out_at = |since_published| {
+        (0..24).filter(|rank| rule.should_switch(&at(since_published, *rank))).count()
+    };
     let counts: Vec<usize> = (44..=64).map(|tenth| out_at(millis(tenth * 100))).collect();
     assert!(counts.windows(2).all(|pair| pair[1] - pair[0] <= 2), "{counts:?}");
     assert_eq!(counts.last(), Some(&24));
     // The newest will be here in time.
-    let newest_whole_in = Some(millis(200));
-    assert!(!rule.is_worth(&OlderVersionView { newest_whole_in, ..older_view() }));
-    let newest_whole_in = Some(millis(2_500));
-    assert!(rule.is_worth(&OlderVersionView { newest_whole_in, ..older_view() }));
+    let newest_complete_in = Some(millis(200));
+    assert!(!rule.should_switch(&OlderVersionState { newest_complete_in, ..older_view() }));
+    let newest_complete_in = Some(millis(2_500));
+    assert!(rule.should_switch(&OlderVersionState { newest_complete_in, ..older_view() }));
     // Too short a use: the newest's own bound is near.
-    let since_newest = millis(6_000);
-    assert!(!rule.is_worth(&OlderVersionView { since_newest, ..older_view() }));
+    let since_newest_published = millis(6_000);
+    assert!(!rule.should_switch(&OlderVersionState { since_newest_published, ..older_view() }));
     // An engine that serves nobody waits for no turn.
-    let early = OlderVersionView { since_named: millis(2_500), rank: 23, ..older_view() };
-    assert!(rule.is_worth(&OlderVersionView { serves: false, ..early }));
-    assert!(!rule.is_worth(&early));
+    let early = OlderVersionState { since_published: millis(2_500), rank: 23, ..older_view() };
+    assert!(rule.should_switch(&OlderVersionState { serves: false, ..early }));
+    assert!(!rule.should_switch(&early));
 }
 
 /// What users would see: waits in vain. All targets lack the wanted weights; while their chunks come,
@@ -221,7 +224,7 @@
     let later = now + Duration::from_secs(4);
     let mut table = table(&[1, 2], now);
     assert!(table.is_expected(&service(), now), "it started a moment ago");
-    let lacking = |host, stalled| EngineNews {
+    let lacking = |host, stalled| EngineStatus {
         address: address(host),
         incarnation: Incarnation::UNSTATED,
         models: Vec::new(),
--- a/tests/all/waiting.rs
+++ b/tests/all/waiting.rs
@@ -323,7 +323,7 @@
             let now = start + Duration::from_millis(tick * 100);
             for (budget, load) in budgets.iter_mut().zip(&loads) {
                 for _ in 0..load / 10 {
-                    budget.note_request(now);
+                    budget.record_request(now);
                     events.push((tick, false));
                     // Every request fails and wants to be repeated.
                     if budget.spend(entries, now) {
