--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -3,8 +3,8 @@
 use crate::shared::GatewayShared;
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AttemptOutcome, Choice, PlacementNeed, PlacementPolicy, TargetId, TargetTable, WaitClaim,
-    WaitPolicy, WaitQueue, WaitTicket,
+    AttemptOutcome, PlacementOutcome, PlacementPolicy, PlacementQuery, TargetId, TargetTable,
+    WaitPolicy, WaitQueue, WaitTicket, WaitUrgency,
 };
 use indexmap::IndexMap;
 use std::{net::SocketAddr, rc::Rc, time::Duration};
@@ -86,8 +86,8 @@
     pub(crate) service: &'a ServiceName,
     pub(crate) model: Option<&'a ModelName>,
     pub(crate) tried: &'a [TargetId],
-    pub(crate) claim: WaitClaim,
-    /// See [`PlacementNeed::begin_by`].
+    pub(crate) claim: WaitUrgency,
+    /// See [`PlacementQuery::begin_by`].
     pub(crate) begin_by: Option<Instant>,
     /// When waiting makes no sense any more.
     pub(crate) latest: Instant,
@@ -145,7 +145,7 @@
 ) -> Result<PlaceReply, WaitingPlace> {
     let now = Instant::now();
     let mut places = shared.places.borrow_mut();
-    let need = PlacementNeed {
+    let need = PlacementQuery {
         service: call.service,
         model: call.model,
         tried: call.tried,
@@ -154,19 +154,19 @@
     };
     let choice = places.targets.choose(&need, now);
     let nobody_waits = places.queue(call.service).is_empty();
-    let in_outage = choice == Choice::NoTarget;
+    let in_outage = choice == PlacementOutcome::NoTarget;
     match choice {
-        Choice::NoTarget if !places.targets.is_expected(call.service, now) => {
+        PlacementOutcome::NoTarget if !places.targets.is_expected(call.service, now) => {
             let after = places.queue(call.service).return_after(rand::random());
             return Ok(PlaceReply::NoTarget(after));
         }
-        Choice::Target(target) if nobody_waits => {
+        PlacementOutcome::Target(target) if nobody_waits => {
             note_placed(places.queue(call.service), call.claim.is_late(), now);
             if let Some(guard) = hold(shared, &mut places, call.service, target) {
                 return Ok(PlaceReply::Placed(guard));
             }
         }
-        Choice::Target(_) | Choice::Full | Choice::NoTarget => {}
+        PlacementOutcome::Target(_) | PlacementOutcome::Full | PlacementOutcome::NoTarget => {}
     }
     let claim = if in_outage { call.claim.in_outage() } else { call.claim };
     let (sender, receiver) = oneshot::channel();
@@ -262,7 +262,7 @@
 ) -> Option<(WaitTicket, TargetId)> {
     let queue = places.queues.get(service)?;
     for (ticket, request) in queue.iter() {
-        let need = PlacementNeed {
+        let need = PlacementQuery {
             service,
             model: request.model.as_ref(),
             tried: &request.tried,
@@ -270,10 +270,10 @@
             begin_by: request.begin_by,
         };
         match places.targets.choose(&need, now) {
-            Choice::Target(target) => return Some((ticket, target)),
+            PlacementOutcome::Target(target) => return Some((ticket, target)),
             // One that was refused elsewhere needs a particular target; others may still be served.
-            Choice::Full | Choice::NoTarget if !request.tried.is_empty() => {}
-            Choice::Full | Choice::NoTarget => return None,
+            PlacementOutcome::Full | PlacementOutcome::NoTarget if !request.tried.is_empty() => {}
+            PlacementOutcome::Full | PlacementOutcome::NoTarget => return None,
         }
     }
     None
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use egretseam_h1::RequestHead;
 use egretseam_proto::{OrganisationName, ServiceName};
-use egretseam_serving::{AttemptLimits, KeyHolder, RouteRecord, WaitClaim};
+use egretseam_serving::{AttemptLimits, KeyHolder, RouteRecord, WaitUrgency};
 use std::{rc::Rc, time::Duration};
 use tokio::time::Instant;
 
@@ -66,13 +66,13 @@
     }
 
     /// What the request may claim of a wait, by its rank and how long its caller has been trying.
-    pub(crate) fn claim(&self) -> WaitClaim {
+    pub(crate) fn claim(&self) -> WaitUrgency {
         if self.answering {
-            return WaitClaim::resumed();
+            return WaitUrgency::resumed();
         }
         let own = self.holder.as_ref().and_then(|holder| holder.priority);
         let trying_for = self.tried_before + self.received_at.elapsed();
         let objective = self.route.objective;
-        WaitClaim::new(own.unwrap_or(self.route.priority), objective, trying_for)
+        WaitUrgency::new(own.unwrap_or(self.route.priority), objective, trying_for)
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -10,7 +10,7 @@
 use egretseam_http::DaemonMetrics;
 use egretseam_proto::ServiceName;
 use egretseam_serving::{
-    ConfigHolder, EntryRecord, EntryRoster, PatienceTable, RetryBudget, RouteRecord, RouteTable,
+    ConfigHolder, EntryRecord, EntryRoster, RetryBudget, RetryDetector, RouteRecord, RouteTable,
 };
 use indexmap::IndexMap;
 use prometheus::{Histogram, IntCounter, IntGauge};
@@ -117,7 +117,7 @@
     routes_came: Notify,
     pub(crate) places: RefCell<PlaceTable>,
     pub(crate) pool: RefCell<TargetPool>,
-    pub(crate) patience: RefCell<PatienceTable>,
+    pub(crate) patience: RefCell<RetryDetector>,
     pub(crate) budgets: RefCell<IndexMap<ServiceName, RetryBudget>>,
     /// By source: the entries that a control member hears of.
     pub(crate) rosters: RefCell<IndexMap<u32, Vec<EntryRecord>>>,
@@ -143,7 +143,7 @@
             routes_came: Notify::new(),
             places: RefCell::new(places),
             pool: RefCell::default(),
-            patience: RefCell::new(PatienceTable::new(options.waiting.shortest_return)),
+            patience: RefCell::new(RetryDetector::new(options.waiting.shortest_return)),
             budgets: RefCell::default(),
             rosters: RefCell::default(),
             roster: RefCell::default(),
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -11,7 +11,7 @@
 //!   own requests showed; [`TargetTable::choose`] places a request.
 //! - [`WaitQueue`]: where requests wait for a place, and when they are rejected instead.
 //! - [`PeerList`]: at control, the agents that exchange chunks, with numbered changes.
-//! - [`PatienceTable`]: how long a caller has been trying.
+//! - [`RetryDetector`]: how long a caller has been trying.
 //! - [`AttemptLimits`]: how long attempts and waits may take before the caller leaves.
 //! - [`RetryBudget`]: the entry's part of the repeats that a service may get.
 //! - [`EntryRoster`]: which entries callers may be sent to.
@@ -23,12 +23,12 @@
 mod entries;
 mod health;
 mod news;
-mod patience;
 mod peer_list;
 mod placement;
 mod raw;
 mod registry;
 mod retry_budget;
+mod retry_detector;
 mod roster_pace;
 mod route_table;
 mod switch_schedule;
@@ -48,18 +48,18 @@
         EngineNews, EntryRecord, HeldModel, Incarnation, NamedVersion, TargetId, TargetNews,
         TargetRecord, TargetState,
     },
-    patience::PatienceTable,
     peer_list::{PeerList, PeerMap, PeerUpdate, SwarmPeer, apply_peers},
-    placement::{Choice, PlacementNeed, PlacementPolicy},
+    placement::{PlacementOutcome, PlacementPolicy, PlacementQuery},
     raw::{
         ConfigError, RawDestination, RawEngine, RawLimits, RawOrganisation, RawOrigin, RawRoute,
         RawService, RawServing,
     },
     registry::{AnnounceOutcome, LeaveOutcome, TargetRegistry},
     retry_budget::{RetryBudget, RetryPolicy},
+    retry_detector::RetryDetector,
     roster_pace::RosterPace,
     route_table::{AccessError, KeyHolder, RouteTable},
     switch_schedule::{OlderVersionUse, OlderVersionView, SwitchSchedule, SwitchTiming},
     target_table::{LoadSample, TargetTable},
-    wait_queue::{WaitClaim, WaitPolicy, WaitQueue, WaitTicket},
+    wait_queue::{WaitPolicy, WaitQueue, WaitTicket, WaitUrgency},
 };
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -93,7 +93,7 @@
 
 /// What a request needs of its target.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacementNeed<'a> {
+pub struct PlacementQuery<'a> {
     /// Service.
     pub service: &'a ServiceName,
     /// Model, where the service has engines.
@@ -107,7 +107,7 @@
     pub begin_by: Option<Instant>,
 }
 
-impl PlacementNeed<'_> {
+impl PlacementQuery<'_> {
     /// Whether a target is likely to answer before the caller leaves.
     ///
     /// Failure guarded: a request that one target did not answer goes to another whose link is
@@ -121,7 +121,7 @@
 
 /// Where a request goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum PlacementOutcome {
     /// To this target.
     Target(TargetId),
     /// Nowhere now: every target that could take it is full, ejected or paused.
@@ -132,18 +132,18 @@
 
 impl TargetTable {
     /// Chooses a target. Decided on arrival; nothing waits for a tick.
-    pub fn choose(&self, need: &PlacementNeed<'_>, now: Instant) -> Choice {
-        let Some(ids) = self.services.get(need.service) else { return Choice::NoTarget };
+    pub fn choose(&self, need: &PlacementQuery<'_>, now: Instant) -> PlacementOutcome {
+        let Some(ids) = self.services.get(need.service) else { return PlacementOutcome::NoTarget };
         let sampled: Vec<(&TargetId, &TargetRow)> =
             self.sample(ids).filter_map(|id| Some((id, self.rows.get(id)?))).collect();
         let usual = usual_first_byte(&sampled, now);
         let able: Vec<(&TargetId, &TargetRow)> =
             sampled.into_iter().filter(|(_, row)| self.is_able(row, need, usual, now)).collect();
         if able.is_empty() {
-            return Choice::NoTarget;
+            return PlacementOutcome::NoTarget;
         }
         if need.late && self.reads_enough(&able) {
-            return Choice::Full;
+            return PlacementOutcome::Full;
         }
         let view = ServiceView::of(&able, need, now);
         let untried = able.iter().filter(|(id, _)| !need.tried.contains(*id));
@@ -162,7 +162,7 @@
             let free = (1.0 - cost).max(LEAST_FREE);
             weighted.push((free.powi(self.policy.favour), id));
         }
-        draw(&weighted).map_or(Choice::Full, |id| Choice::Target(id.clone()))
+        draw(&weighted).map_or(PlacementOutcome::Full, |id| PlacementOutcome::Target(id.clone()))
     }
 
     /// Whether this entry awaits as many first bytes as are its part for requests that are late.
@@ -207,7 +207,7 @@
     fn is_able(
         &self,
         row: &TargetRow,
-        need: &PlacementNeed<'_>,
+        need: &PlacementQuery<'_>,
         usual_first_byte: Duration,
         now: Instant,
     ) -> bool {
@@ -222,7 +222,7 @@
     fn cost(
         &self,
         row: &TargetRow,
-        need: &PlacementNeed<'_>,
+        need: &PlacementQuery<'_>,
         view: &ServiceView,
         now: Instant,
     ) -> Option<f64> {
@@ -251,7 +251,7 @@
 
     /// Whether this entry has its part of an engine's places, by a sample that is fresh. Plain
     /// services answer within some ten milliseconds, so that any sample of them is stale.
-    fn has_its_part(&self, row: &TargetRow, need: &PlacementNeed<'_>, now: Instant) -> bool {
+    fn has_its_part(&self, row: &TargetRow, need: &PlacementQuery<'_>, now: Instant) -> bool {
         let fresh = row
             .load
             .filter(|sample| now.saturating_duration_since(sample.at) < self.policy.part_life);
@@ -336,7 +336,7 @@
         !self.all_narrow && !row.link_delay.is_zero()
     }
 
-    fn of(able: &[(&TargetId, &TargetRow)], need: &PlacementNeed<'_>, now: Instant) -> Self {
+    fn of(able: &[(&TargetId, &TargetRow)], need: &PlacementQuery<'_>, now: Instant) -> Self {
         let mut untried = able.iter().filter(|(id, _)| !need.tried.contains(*id));
         let mut view = Self {
             mean_others: mean_of_others(able, now),
--- a/crates/serving/src/patience.rs
+++ b/crates/serving/src/retry_detector.rs
@@ -139,13 +139,13 @@
 
 /// Times of callers by route.
 #[derive(Debug)]
-pub struct PatienceTable {
+pub struct RetryDetector {
     /// The soonest that rejected callers are asked to come back.
     shortest_return: Duration,
     routes: IndexMap<String, RouteTimes>,
 }
 
-impl PatienceTable {
+impl RetryDetector {
     /// An empty table, where rejected callers come back after `shortest_return` at the soonest.
     pub fn new(shortest_return: Duration) -> Self {
         Self { shortest_return, routes: IndexMap::new() }
--- a/crates/serving/src/wait_queue.rs
+++ b/crates/serving/src/wait_queue.rs
@@ -89,7 +89,7 @@
 
 /// What a request may claim of its wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WaitClaim {
+pub struct WaitUrgency {
     rank: WaitRank,
     /// Its latency objective.
     objective: Duration,
@@ -97,7 +97,7 @@
     objective_left: Duration,
 }
 
-impl WaitClaim {
+impl WaitUrgency {
     /// A claim of a request whose caller has been trying for so long.
     pub fn new(priority: u8, objective: Duration, trying_for: Duration) -> Self {
         let objective_left = objective.saturating_sub(trying_for);
@@ -190,7 +190,7 @@
 
     /// How long a request may wait, where answers usually begin so long after the request is sent
     /// on.
-    pub fn wait_limit(&self, claim: &WaitClaim, usual_first_byte: Duration) -> Duration {
+    pub fn wait_limit(&self, claim: &WaitUrgency, usual_first_byte: Duration) -> Duration {
         let limit = match claim.rank {
             WaitRank::Resumed => return self.policy.resumed_limit,
             WaitRank::Late(_) => return self.policy.late_limit,
@@ -257,7 +257,7 @@
     /// Failure guarded: all places go to requests that can still be in time, and those that are late are
     /// held for 1.5 s and rejected then, with too little time left to be served anywhere. How fast places
     /// come free says nothing to them; how many of them got one of late does.
-    pub fn predicted_wait(&mut self, claim: &WaitClaim, now: Instant) -> Option<Duration> {
+    pub fn predicted_wait(&mut self, claim: &WaitUrgency, now: Instant) -> Option<Duration> {
         self.roll(now);
         let start = self.window_start.unwrap_or(now);
         let span = RATE_WINDOW + now.saturating_duration_since(start);
@@ -286,7 +286,7 @@
     /// Returns the payload if the predicted wait is too long or the queue is full.
     pub fn push(
         &mut self,
-        claim: &WaitClaim,
+        claim: &WaitUrgency,
         give_up_at: Instant,
         payload: T,
         now: Instant,
@@ -302,7 +302,7 @@
     /// Returns the payload if the queue is full.
     pub fn hold(
         &mut self,
-        claim: &WaitClaim,
+        claim: &WaitUrgency,
         give_up_at: Instant,
         payload: T,
     ) -> Result<WaitTicket, T> {
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -4,8 +4,9 @@
 use crate::batch_engine::{BatchEngine, EngineEvent, EngineModel};
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AttemptOutcome, Choice, EngineNews, HeldModel, Incarnation, PlacementNeed, PlacementPolicy,
-    TargetId, TargetNews, TargetRecord, TargetState, TargetTable, WaitClaim, WaitPolicy, WaitQueue,
+    AttemptOutcome, EngineNews, HeldModel, Incarnation, PlacementOutcome, PlacementPolicy,
+    PlacementQuery, TargetId, TargetNews, TargetRecord, TargetState, TargetTable, WaitPolicy,
+    WaitQueue, WaitUrgency,
 };
 use indexmap::{IndexMap, IndexSet};
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
@@ -41,7 +42,7 @@
     pub late_behind: bool,
     /// Whether entries know of each other.
     pub aware: bool,
-    /// Choice of targets.
+    /// PlacementOutcome of targets.
     pub placement: PlacementPolicy,
     /// Waiting.
     pub waiting: WaitPolicy,
@@ -240,7 +241,7 @@
         let usual = self.entries[at].table.usual_first_byte(&self.service, now);
         let trying_for = self.due.get(&id).map_or(Duration::ZERO, |due| now - *due);
         let known = if self.script.late_behind { trying_for } else { Duration::ZERO };
-        let claim = WaitClaim::new(1, self.script.objective, known);
+        let claim = WaitUrgency::new(1, self.script.objective, known);
         let queue = &mut self.entries[at].queue;
         let give_up_at = now + queue.wait_limit(&claim, usual);
         if queue.push(&claim, give_up_at, id, now).is_err() {
@@ -249,7 +250,7 @@
     }
 
     fn hold_or_refuse(&mut self, at: usize, id: u64, now: Instant) {
-        let claim = WaitClaim::new(1, self.script.objective, Duration::ZERO).in_outage();
+        let claim = WaitUrgency::new(1, self.script.objective, Duration::ZERO).in_outage();
         let queue = &mut self.entries[at].queue;
         let give_up_at = now + queue.outage_limit();
         if !self.script.holds || queue.hold(&claim, give_up_at, id).is_err() {
@@ -298,14 +299,14 @@
 
     fn place(&mut self, at: usize, id: u64, now: Instant) -> bool {
         let late = self.script.late_behind && self.is_late(id, now);
-        let need = PlacementNeed {
+        let need = PlacementQuery {
             service: &self.service,
             model: Some(&self.model),
             tried: &[],
             late,
             begin_by: None,
         };
-        let Choice::Target(target) = self.entries[at].table.choose(&need, now) else {
+        let PlacementOutcome::Target(target) = self.entries[at].table.choose(&need, now) else {
             return false;
         };
         self.entries[at].table.begin(&target, now);
--- a/tests/all/incarnations.rs
+++ b/tests/all/incarnations.rs
@@ -3,7 +3,7 @@
 use crate::serving_tables::{choose, held, news};
 use egretseam_proto::{ServiceName, ZoneName};
 use egretseam_serving::{
-    AnnounceOutcome, AttemptOutcome, Choice, EngineNews, Incarnation, LeaveOutcome,
+    AnnounceOutcome, AttemptOutcome, EngineNews, Incarnation, LeaveOutcome, PlacementOutcome,
     PlacementPolicy, TargetId, TargetRecord, TargetRegistry, TargetState, TargetTable,
 };
 use proptest::prelude::*;
@@ -111,10 +111,10 @@
         table.begin(&id(run(1)), now);
     }
     table.note_load(&id(run(1)), 4, now);
-    assert_eq!(choose(&table, &[], now), Choice::Full);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Full);
     let later = now + Duration::from_secs(2);
     table.note_target(0, &news(ready(run(2), 1)), later);
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(run(2))));
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(run(2))));
     // The former run's requests end now; that frees nothing and says nothing of the new run.
     for _ in 0..4 {
         table.begin(&id(run(2)), later);
@@ -122,11 +122,11 @@
     for _ in 0..4 {
         assert!(!table.end(&id(run(1)), AttemptOutcome::Unreachable, later));
     }
-    assert_eq!(choose(&table, &[], later), Choice::Full);
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Full);
     // A sample of the former run at the same address is on its way.
     table.end(&id(run(2)), AttemptOutcome::Answered, later);
     table.note_load_at(address(), 4, now + Duration::from_secs(1));
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(run(2))));
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(run(2))));
 }
 
 /// What users would see: refusals from an engine that started again without weights, since what an
@@ -147,13 +147,17 @@
     table.note_target(0, &news(ready(run(1), 1)), now);
     // The engine is seen to have started again before it announces itself.
     table.note_engine(&engine(run(2), Vec::new()), now);
-    assert_eq!(choose(&table, &[], now), Choice::NoTarget);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::NoTarget);
     let empty = TargetRecord { models: Vec::new(), ..ready(run(2), 1) };
     table.note_target(0, &news(empty), now);
     table.note_engine(&engine(run(1), held(1)), now);
-    assert_eq!(choose(&table, &[], now), Choice::NoTarget, "the former run's weights are gone");
+    assert_eq!(
+        choose(&table, &[], now),
+        PlacementOutcome::NoTarget,
+        "the former run's weights are gone"
+    );
     table.note_engine(&engine(run(2), held(1)), now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(run(2))));
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(run(2))));
 }
 
 /// What users would see: a target that is never used again. Its clock stepped back between two
@@ -179,7 +183,7 @@
     at += Duration::from_secs(1);
     assert_eq!(registry.announce(ready(run(3), 61), at), AnnounceOutcome::Taken);
     table.note_target(0, &registry.targets_since(seen, at)[0], at);
-    assert_eq!(choose(&table, &[], at), Choice::Target(id(run(3))));
+    assert_eq!(choose(&table, &[], at), PlacementOutcome::Target(id(run(3))));
 }
 
 /// A slowness without end would overflow the clock and stop the entry.
@@ -189,7 +193,7 @@
     let mut table = empty_table();
     let slow = TargetRecord { cold_millis: u64::MAX, ..ready(run(1), 1) };
     table.note_target(0, &news(slow), now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(run(1))));
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(run(1))));
 }
 
 /// What a target says, to be delivered to one of the members in any order.
@@ -253,7 +257,7 @@
             }
             seen[at] = members[at].number();
         }
-        prop_assert_eq!(choose(&table, &[], now), Choice::Target(id(run(3))));
+        prop_assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(run(3))));
         prop_assert!(table.is_ready("i-1"));
     }
 }
--- a/tests/all/narrow_links.rs
+++ b/tests/all/narrow_links.rs
@@ -1,7 +1,7 @@
 //! What an instance makes of its own link when it narrows.
 
 use crate::serving_tables::{choose, id, link_news, table};
-use egretseam_serving::Choice;
+use egretseam_serving::PlacementOutcome;
 use egretseam_swarm::LinkDelay;
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
@@ -75,18 +75,21 @@
         table.note_engine(&link_news(host, 1_000), now);
     }
     for _ in 0..50 {
-        assert_eq!(choose(&table, &[], now), Choice::Target(id(3)));
+        assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(3)));
     }
     for _ in 0..4 {
         table.begin(&id(3), now);
     }
-    assert_eq!(choose(&table, &[], now), Choice::Full, "a place is waited for");
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Full, "a place is waited for");
     let retried = choose(&table, &[id(3)], now);
-    assert!(matches!(retried, Choice::Target(_)), "nothing better is left to it");
+    assert!(matches!(retried, PlacementOutcome::Target(_)), "nothing better is left to it");
     table.note_engine(&link_news(3, 1_000), now);
-    assert!(matches!(choose(&table, &[], now), Choice::Target(_)), "there is nothing better");
+    assert!(
+        matches!(choose(&table, &[], now), PlacementOutcome::Target(_)),
+        "there is nothing better"
+    );
     table.note_engine(&link_news(1, 0), now);
     for _ in 0..50 {
-        assert_eq!(choose(&table, &[], now), Choice::Target(id(1)), "it has widened");
+        assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)), "it has widened");
     }
 }
--- a/tests/all/serving_tables.rs
+++ b/tests/all/serving_tables.rs
@@ -2,9 +2,9 @@
 
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AnnounceOutcome, AttemptOutcome, Choice, EngineNews, EntryRecord, EntryRoster, HeldModel,
-    Incarnation, PlacementNeed, PlacementPolicy, RosterPace, TargetId, TargetNews, TargetRecord,
-    TargetRegistry, TargetState, TargetTable,
+    AnnounceOutcome, AttemptOutcome, EngineNews, EntryRecord, EntryRoster, HeldModel, Incarnation,
+    PlacementOutcome, PlacementPolicy, PlacementQuery, RosterPace, TargetId, TargetNews,
+    TargetRecord, TargetRegistry, TargetState, TargetTable,
 };
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
@@ -75,11 +75,11 @@
     service: &'a ServiceName,
     model: &'a ModelName,
     tried: &'a [TargetId],
-) -> PlacementNeed<'a> {
-    PlacementNeed { service, model: Some(model), tried, late: false, begin_by: None }
+) -> PlacementQuery<'a> {
+    PlacementQuery { service, model: Some(model), tried, late: false, begin_by: None }
 }
 
-pub(crate) fn choose(table: &TargetTable, tried: &[TargetId], now: Instant) -> Choice {
+pub(crate) fn choose(table: &TargetTable, tried: &[TargetId], now: Instant) -> PlacementOutcome {
     let (service, model) = (service(), model());
     table.choose(&need(&service, &model, tried), now)
 }
@@ -133,7 +133,7 @@
     table.source_lost(1);
     let later = now + Duration::from_secs(600);
     table.expire(later);
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
 /// What users would see: requests at a target that crashed while a control member restarted. Its
@@ -144,11 +144,11 @@
     let now = Instant::now();
     let mut table = table(&[1], now);
     table.source_restarted(0, now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)));
     let later = now + Duration::from_secs(5);
-    assert_eq!(choose(&table, &[], later), Choice::NoTarget);
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::NoTarget);
     table.note_target(0, &news(record(1, 2, TargetState::Ready)), later);
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
 #[actix_rt::test]
@@ -156,16 +156,16 @@
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
     table.note_load(&id(1), 4, now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(2)), "a new target is tried");
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(2)), "a new target is tried");
     table.note_load(&id(2), 0, now);
     for _ in 0..4 {
-        assert_eq!(choose(&table, &[], now), Choice::Target(id(2)));
+        assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(2)));
         table.begin(&id(2), now);
     }
-    assert_eq!(choose(&table, &[], now), Choice::Full);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Full);
     // What others do there fades, so that nobody is avoided for ever on an old word.
     let later = now + Duration::from_secs(3);
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
 #[actix_rt::test]
@@ -184,10 +184,14 @@
         rested |= table.end(&id(2), outcome, now);
     }
     assert!(rested);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(1)));
-    assert_eq!(choose(&table, &[id(1)], now), Choice::Full);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)));
+    assert_eq!(choose(&table, &[id(1)], now), PlacementOutcome::Full);
     let later = now + Duration::from_secs(7);
-    assert_eq!(choose(&table, &[id(1)], later), Choice::Target(id(2)), "it is tried again");
+    assert_eq!(
+        choose(&table, &[id(1)], later),
+        PlacementOutcome::Target(id(2)),
+        "it is tried again"
+    );
 }
 
 /// What users would see: all callers of a zone are late, and some get no connection at all. Every
@@ -300,7 +304,7 @@
             table.end(&id(host), AttemptOutcome::Failed, now);
         }
     }
-    assert!(matches!(choose(&table, &[], now), Choice::Target(_)));
+    assert!(matches!(choose(&table, &[], now), PlacementOutcome::Target(_)));
 }
 
 /// What users would see: dozens of late answers for each engine that freezes. It takes requests and
@@ -317,7 +321,7 @@
     }
     table.note_sent(&id(1), start);
     let hits = |table: &TargetTable, now| {
-        (0..400).filter(|_| choose(table, &[], now) == Choice::Target(id(1))).count()
+        (0..400).filter(|_| choose(table, &[], now) == PlacementOutcome::Target(id(1))).count()
     };
     let early = hits(&table, start + usual);
     assert!((50..150).contains(&early), "nothing to be said yet: {early} of 400");
@@ -339,8 +343,9 @@
     for (host, millis) in [(1, 120), (2, 150), (3, 1_500)] {
         table.note_first_byte(&id(host), now - Duration::from_millis(millis), now);
     }
-    let drawn =
-        |now| (0..600).filter(|_| choose(&table, &[], now) == Choice::Target(id(3))).count();
+    let drawn = |now| {
+        (0..600).filter(|_| choose(&table, &[], now) == PlacementOutcome::Target(id(3))).count()
+    };
     assert!(drawn(now) < 40, "{} of 600", drawn(now));
     assert!(drawn(now + Duration::from_secs(4)) > 120);
 }
@@ -364,7 +369,9 @@
     let mut arrivals = vec![0_u32; usize::from(TARGETS) + 1];
     for round in 0..24 {
         let entry = &mut entries[round % ENTRIES];
-        let Choice::Target(target) = choose(entry, &[], now) else { panic!("there is room") };
+        let PlacementOutcome::Target(target) = choose(entry, &[], now) else {
+            panic!("there is room")
+        };
         entry.begin(&target, now);
         let host: usize = target.name.trim_start_matches("i-").parse().expect("a number");
         arrivals[host] += 1;
@@ -383,20 +390,20 @@
     let mut table = table(&[1, 2], now);
     let (service, model, tried) = (service(), model(), [id(1)]);
     let leaves = now + Duration::from_millis(500);
-    let further = PlacementNeed { begin_by: Some(leaves), ..need(&service, &model, &tried) };
-    assert_eq!(table.choose(&further, now), Choice::Target(id(2)));
+    let further = PlacementQuery { begin_by: Some(leaves), ..need(&service, &model, &tried) };
+    assert_eq!(table.choose(&further, now), PlacementOutcome::Target(id(2)));
 
     table.note_engine(&link_news(2, 500), now);
-    assert_eq!(table.choose(&further, now), Choice::Full);
-    assert_eq!(choose(&table, &tried, now), Choice::Target(id(2)), "its caller stays");
+    assert_eq!(table.choose(&further, now), PlacementOutcome::Full);
+    assert_eq!(choose(&table, &tried, now), PlacementOutcome::Target(id(2)), "its caller stays");
     table.note_engine(&link_news(2, 0), now);
 
     table.note_first_byte(&id(2), now - Duration::from_millis(700), now);
     assert_eq!(
         table.choose(&further, now),
-        Choice::Full,
+        PlacementOutcome::Full,
         "its answers begin after the caller left"
     );
-    let patient = PlacementNeed { begin_by: Some(now + Duration::from_secs(1)), ..further };
-    assert_eq!(table.choose(&patient, now), Choice::Target(id(2)));
+    let patient = PlacementQuery { begin_by: Some(now + Duration::from_secs(1)), ..further };
+    assert_eq!(table.choose(&patient, now), PlacementOutcome::Target(id(2)));
 }
--- a/tests/all/versions.rs
+++ b/tests/all/versions.rs
@@ -2,8 +2,8 @@
 
 use crate::serving_tables::{address, choose, held, id, model, news, record, service, table};
 use egretseam_serving::{
-    AttemptOutcome, Choice, EngineNews, Incarnation, NamedVersion, OlderVersionUse,
-    OlderVersionView, SwitchSchedule, SwitchTiming, TargetState,
+    AttemptOutcome, EngineNews, Incarnation, NamedVersion, OlderVersionUse, OlderVersionView,
+    PlacementOutcome, SwitchSchedule, SwitchTiming, TargetState,
 };
 use egretseam_swarm::ChunkPace;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     let named = |version, age_millis| NamedVersion { model: model(), version, age_millis };
     table.note_version(&named(2, 0), VERSION_LIMIT, now);
     table.note_version(&named(3, 0), VERSION_LIMIT, now + Duration::from_secs(4));
-    assert!(matches!(choose(&table, &[], now), Choice::Target(_)));
+    assert!(matches!(choose(&table, &[], now), PlacementOutcome::Target(_)));
     let engine = |version, loading| EngineNews {
         address: address(2),
         incarnation: Incarnation::UNSTATED,
@@ -32,14 +32,18 @@
         age_millis: 0,
     };
     table.note_engine(&engine(1, true), now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(1)), "2 accepts nothing while it loads");
+    assert_eq!(
+        choose(&table, &[], now),
+        PlacementOutcome::Target(id(1)),
+        "2 accepts nothing while it loads"
+    );
     let bound = now + VERSION_LIMIT;
     table.note_engine(&engine(2, false), bound);
-    assert_eq!(choose(&table, &[], bound), Choice::Target(id(2)));
+    assert_eq!(choose(&table, &[], bound), PlacementOutcome::Target(id(2)));
     let second_bound = bound + Duration::from_secs(4);
-    assert_eq!(choose(&table, &[], second_bound), Choice::NoTarget);
+    assert_eq!(choose(&table, &[], second_bound), PlacementOutcome::NoTarget);
     table.note_engine(&engine(3, false), second_bound);
-    assert_eq!(choose(&table, &[], second_bound), Choice::Target(id(2)));
+    assert_eq!(choose(&table, &[], second_bound), PlacementOutcome::Target(id(2)));
 }
 
 /// What users would see: an answer from weights that operators replaced. A request is sent in time
@@ -57,11 +61,11 @@
     );
     let bound = now + VERSION_LIMIT;
     let at = bound - Duration::from_millis(1_500);
-    assert_eq!(choose(&table, &[], at), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], at), PlacementOutcome::Target(id(1)));
     table.note_first_byte(&id(1), at - Duration::from_millis(1_200), at);
-    assert_eq!(choose(&table, &[], at), Choice::NoTarget);
+    assert_eq!(choose(&table, &[], at), PlacementOutcome::NoTarget);
     let early = bound - Duration::from_millis(4_000);
-    assert_eq!(choose(&table, &[], early), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], early), PlacementOutcome::Target(id(1)));
 }
 
 /// What users would see: an answer from weights that operators replaced. Just before the bound all
@@ -106,11 +110,15 @@
     };
     let at = now + Duration::from_millis(10);
     table.note_engine(&fresh, at);
-    assert_eq!(choose(&table, &[], at), Choice::NoTarget, "the engine restarted and is empty");
+    assert_eq!(
+        choose(&table, &[], at),
+        PlacementOutcome::NoTarget,
+        "the engine restarted and is empty"
+    );
     let mut old = news(record(1, 2, TargetState::Ready));
     old.age_millis = 5_000;
     table.note_target(0, &old, at);
-    assert_eq!(choose(&table, &[], at), Choice::NoTarget);
+    assert_eq!(choose(&table, &[], at), PlacementOutcome::NoTarget);
 }
 
 #[test]
@@ -166,7 +174,7 @@
     let before = start + VERSION_LIMIT - millis(1_200);
     for _ in 0..40 {
         let choice = choose(&table, &[], before);
-        assert_eq!(choice, Choice::Target(id(4)));
+        assert_eq!(choice, PlacementOutcome::Target(id(4)));
     }
 }
 
@@ -232,7 +240,7 @@
     };
     table.note_engine(&lacking(1, true), later);
     table.note_engine(&lacking(2, false), later);
-    assert_eq!(choose(&table, &[], later), Choice::NoTarget);
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::NoTarget);
     assert!(table.is_expected(&service(), later));
     table.note_engine(&lacking(2, true), later);
     assert!(!table.is_expected(&service(), later));
--- a/tests/all/waiting.rs
+++ b/tests/all/waiting.rs
@@ -1,7 +1,7 @@
 //! Waiting for a place, being rejected, and the shared retry budget, under replayed load.
 
 use egretseam_serving::{
-    PatienceTable, PlacementPolicy, RetryBudget, RetryPolicy, WaitClaim, WaitPolicy, WaitQueue,
+    PlacementPolicy, RetryBudget, RetryDetector, RetryPolicy, WaitPolicy, WaitQueue, WaitUrgency,
 };
 use egretseam_testkit::{EngineModel, LoadResult, LoadScript, play_load};
 use proptest::prelude::*;
@@ -10,8 +10,8 @@
 
 const OBJECTIVE: Duration = Duration::from_millis(400);
 
-fn claim(priority: u8) -> WaitClaim {
-    WaitClaim::new(priority, OBJECTIVE, Duration::ZERO)
+fn claim(priority: u8) -> WaitUrgency {
+    WaitUrgency::new(priority, OBJECTIVE, Duration::ZERO)
 }
 
 #[actix_rt::test]
@@ -63,7 +63,7 @@
 #[actix_rt::test]
 async fn late_requests_are_not_held_while_none_of_them_gets_a_place() {
     let step = Duration::from_millis(10);
-    let late = WaitClaim::new(1, OBJECTIVE, Duration::from_secs(2));
+    let late = WaitUrgency::new(1, OBJECTIVE, Duration::from_secs(2));
     let held = |gives_late: bool| {
         let mut now = Instant::now();
         let mut queue = WaitQueue::new(WaitPolicy::default());
@@ -138,7 +138,7 @@
 fn a_callers_time_tells_how_long_it_has_tried() {
     let millis = Duration::from_millis;
     let start = Instant::now();
-    let mut patience = PatienceTable::new(Duration::from_secs(1));
+    let mut patience = RetryDetector::new(Duration::from_secs(1));
     assert_eq!(patience.note("plan", millis(4_100), start), Duration::ZERO, "nothing is known yet");
     for number in 0..200 {
         let now = start + millis(number * 30);
@@ -174,7 +174,7 @@
 #[test]
 fn callers_who_differ_in_patience_are_not_taken_for_repeats() {
     let start = Instant::now();
-    let mut patience = PatienceTable::new(Duration::from_secs(1));
+    let mut patience = RetryDetector::new(Duration::from_secs(1));
     for number in 0..400_u64 {
         let left = Duration::from_millis(5_000 + number * 613 % 1_500);
         let now = start + Duration::from_millis(number * 10);
@@ -191,7 +191,7 @@
 fn callers_who_come_back_are_known_where_patience_differs() {
     let millis = Duration::from_millis;
     let start = Instant::now();
-    let mut patience = PatienceTable::new(Duration::from_secs(1));
+    let mut patience = RetryDetector::new(Duration::from_secs(1));
     let (mut now, mut missed, mut repeats) = (start, 0, 0);
     for number in 0..2_000_u64 {
         now += millis(60);
@@ -215,7 +215,7 @@
 fn impatient_callers_count_as_repeats_no_oftener_than_callers_are_rejected() {
     let millis = Duration::from_millis;
     let mut now = Instant::now();
-    let mut patience = PatienceTable::new(Duration::from_secs(1));
+    let mut patience = RetryDetector::new(Duration::from_secs(1));
     let mut taken = 0;
     for number in 0..2_000_u64 {
         now += millis(20);
