--- a/crates/bench/src/slopes/samples.rs
+++ b/crates/bench/src/slopes/samples.rs
@@ -35,7 +35,7 @@
             models: Vec::new(),
         };
         let news = TargetNews { record, silent: false, age_millis: 0 };
-        table.note_target(0, &news, tokio::time::Instant::now());
+        table.apply_target(0, &news, tokio::time::Instant::now());
     }
     Ok(table)
 }
@@ -50,7 +50,7 @@
         for round in 0..ROUNDS {
             at += Duration::from_millis(100);
             for number in 0..size {
-                table.note_load_at(address(number), round as u32 % 9, at);
+                table.record_load_at(address(number), round as u32 % 9, at);
             }
         }
         let micros = begun.elapsed().as_secs_f64() * 1e6;
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -138,7 +138,7 @@
     };
     if let Some(busy) = marks.busy {
         let now = Instant::now();
-        shared.places.borrow_mut().targets.note_load(&place.target, busy, now);
+        shared.places.borrow_mut().targets.record_load(&place.target, busy, now);
     }
     let answer = OpenAnswer { connection, head, marks };
     if answer.marks.not_run {
@@ -176,14 +176,14 @@
     fn begin(shared: &'a GatewayShared, place: &'a PlaceGuard) -> Self {
         let sent_at = Instant::now();
         let target = &place.target;
-        shared.places.borrow_mut().targets.note_sent(target, sent_at);
+        shared.places.borrow_mut().targets.record_sent(target, sent_at);
         Self { shared, target, sent_at }
     }
 
     /// The first byte came. One that was waited for in vain counts with the time it was waited for.
     fn end(self) {
         let now = Instant::now();
-        self.shared.places.borrow_mut().targets.note_first_byte(self.target, self.sent_at, now);
+        self.shared.places.borrow_mut().targets.record_first_byte(self.target, self.sent_at, now);
     }
 }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -206,14 +206,14 @@
                 places.targets.source_restarted(self.source, now);
             }
             for id in &reply.gone {
-                places.targets.note_gone(id, now);
+                places.targets.remove_target(id, now);
             }
             for news in &reply.targets {
                 log_target(news);
-                places.targets.note_target(self.source, news, now);
+                places.targets.apply_target(self.source, news, now);
             }
             for news in &reply.engines {
-                places.targets.note_engine(news, now);
+                places.targets.apply_engine(news, now);
             }
         }
         for id in &reply.gone {
@@ -244,7 +244,7 @@
         {
             let mut places = shared.places.borrow_mut();
             for named in &roster.versions {
-                places.targets.note_version(named, shared.options.version_limit, now);
+                places.targets.apply_version(named, shared.options.version_limit, now);
             }
         }
         shared.note_roster(self.source, Some(roster.entries));
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -300,7 +300,7 @@
         model: request.terms.model.as_ref(),
         tried,
         claim: request.claim(),
-        begin_by: (!is_first && limits.awaits_stream).then(|| limits.wait_until()),
+        first_byte_deadline: (!is_first && limits.awaits_stream).then(|| limits.wait_until()),
         latest: if is_first { request.deadline } else { limits.wait_until() },
     };
     let reply = tokio::select! {
@@ -329,7 +329,7 @@
     let answer = match opened {
         Ok(answer) => answer,
         Err(AttemptFailure::OtherTarget) => {
-            shared.places.borrow_mut().targets.note_gone(&placed.target, Instant::now());
+            shared.places.borrow_mut().targets.remove_target(&placed.target, Instant::now());
             shared.pool.borrow_mut().forget(&placed.target);
             placed.finish(AttemptOutcome::Failed);
             return Err(AttemptFailure::OtherTarget);
@@ -403,7 +403,7 @@
     let places = shared.places.borrow();
     // Failure guarded: a request waits in a full engine until after the bound and begins on old
     // weights. It is taken back before, while there is still time to close its connection.
-    let leave_by = model.and_then(|model| places.targets.leave_by(target, model));
+    let leave_by = model.and_then(|model| places.targets.start_deadline(target, model));
     leave_by.map_or(patience, |leave_by| patience.min(leave_by + LEAVE_SLACK))
 }
 
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -45,7 +45,7 @@
             let mut places = shared.places.borrow_mut();
             for sample in &datagram.samples {
                 let busy = u32::from(sample.busy);
-                places.targets.note_load_at(sample.address, busy, measured_at);
+                places.targets.record_load_at(sample.address, busy, measured_at);
             }
         }
         if shared.places.borrow().has_waiters() {
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -19,7 +19,7 @@
     model: Option<ModelName>,
     tried: Vec<TargetId>,
     late: bool,
-    begin_by: Option<Instant>,
+    first_byte_deadline: Option<Instant>,
     sender: oneshot::Sender<PlaceGuard>,
 }
 
@@ -66,7 +66,8 @@
             return;
         }
         let now = Instant::now();
-        let ejected = self.shared.places.borrow_mut().targets.end(&self.target, outcome, now);
+        let ejected =
+            self.shared.places.borrow_mut().targets.finish_attempt(&self.target, outcome, now);
         if ejected {
             tracing::info!(target_id = %self.target, ?outcome, "a target was ejected");
         }
@@ -87,8 +88,8 @@
     pub(crate) model: Option<&'a ModelName>,
     pub(crate) tried: &'a [TargetId],
     pub(crate) claim: WaitUrgency,
-    /// See [`PlacementQuery::begin_by`].
-    pub(crate) begin_by: Option<Instant>,
+    /// See [`PlacementQuery::first_byte_deadline`].
+    pub(crate) first_byte_deadline: Option<Instant>,
     /// When waiting makes no sense any more.
     pub(crate) latest: Instant,
 }
@@ -150,13 +151,13 @@
         model: call.model,
         tried: call.tried,
         late: call.claim.is_late(),
-        begin_by: call.begin_by,
+        first_byte_deadline: call.first_byte_deadline,
     };
     let choice = places.targets.choose(&need, now);
     let nobody_waits = places.queue(call.service).is_empty();
     let in_outage = choice == PlacementOutcome::NoTarget;
     match choice {
-        PlacementOutcome::NoTarget if !places.targets.is_expected(call.service, now) => {
+        PlacementOutcome::NoTarget if !places.targets.expects_capacity(call.service, now) => {
             let after = places.queue(call.service).return_after(rand::random());
             return Ok(PlaceReply::NoTarget(after));
         }
@@ -174,10 +175,10 @@
         model: call.model.cloned(),
         tried: call.tried.to_vec(),
         late: claim.is_late(),
-        begin_by: call.begin_by,
+        first_byte_deadline: call.first_byte_deadline,
         sender,
     };
-    let usual = places.targets.usual_first_byte(call.service, now);
+    let usual = places.targets.median_first_byte(call.service, now);
     let queue = places.queue(call.service);
     let limit = if in_outage { queue.outage_limit() } else { queue.wait_limit(&claim, usual) };
     let give_up_at = (now + limit).min(call.latest);
@@ -218,7 +219,7 @@
     target: TargetId,
 ) -> Option<PlaceGuard> {
     let address = places.targets.address(&target)?;
-    places.targets.begin(&target, Instant::now());
+    places.targets.start_attempt(&target, Instant::now());
     let (shared, service) = (shared.clone(), service.clone());
     Some(PlaceGuard { shared, service, target, address, ended: false })
 }
@@ -267,7 +268,7 @@
             model: request.model.as_ref(),
             tried: &request.tried,
             late: request.late,
-            begin_by: request.begin_by,
+            first_byte_deadline: request.first_byte_deadline,
         };
         match places.targets.choose(&need, now) {
             PlacementOutcome::Target(target) => return Some((ticket, target)),
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -211,7 +211,7 @@
             None => {}
         }
         let roster = EntryRoster::merged(rosters.values(), Instant::now());
-        self.places.borrow_mut().targets.set_sharers(roster.ready_count());
+        self.places.borrow_mut().targets.set_entry_count(roster.ready_count());
         *self.roster.borrow_mut() = roster;
     }
 
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -104,7 +104,7 @@
     pub late: bool,
     /// When its caller leaves, if its answer has not begun: only asked for where another target had
     /// it before.
-    pub begin_by: Option<Instant>,
+    pub first_byte_deadline: Option<Instant>,
 }
 
 impl PlacementQuery<'_> {
@@ -114,7 +114,9 @@
     /// narrowed, arrives there seconds later and is run for a caller that has left. What is on its
     /// way cannot be recalled, so it is not sent.
     fn is_in_time(&self, row: &TargetRow, now: Instant) -> bool {
-        let left = self.begin_by.map(|begin_by| begin_by.saturating_duration_since(now));
+        let left = self
+            .first_byte_deadline
+            .map(|first_byte_deadline| first_byte_deadline.saturating_duration_since(now));
         left.is_none_or(|left| row.begins_within(left, now))
     }
 }
@@ -136,7 +138,7 @@
         let Some(ids) = self.services.get(need.service) else { return PlacementOutcome::NoTarget };
         let sampled: Vec<(&TargetId, &TargetRow)> =
             self.sample(ids).filter_map(|id| Some((id, self.rows.get(id)?))).collect();
-        let usual = usual_first_byte(&sampled, now);
+        let usual = median_first_byte(&sampled, now);
         let able: Vec<(&TargetId, &TargetRow)> =
             sampled.into_iter().filter(|(_, row)| self.is_able(row, need, usual, now)).collect();
         if able.is_empty() {
@@ -180,7 +182,7 @@
     /// 1.5 s of the time in which it could have come back. Of the value of all requests of
     /// a day with such an outage of four seconds 0.787 was earned with waiting and 0.794 without (means
     /// of two and three plays of 48 s at usual load).
-    pub fn is_expected(&self, service: &ServiceName, now: Instant) -> bool {
+    pub fn expects_capacity(&self, service: &ServiceName, now: Instant) -> bool {
         if now.saturating_duration_since(self.started_at) < HEARD_ALL {
             return true;
         }
@@ -192,10 +194,10 @@
     }
 
     /// The usual time from sending a request of a service on to the first byte of its answer.
-    pub fn usual_first_byte(&self, service: &ServiceName, now: Instant) -> Duration {
+    pub fn median_first_byte(&self, service: &ServiceName, now: Instant) -> Duration {
         let Some(ids) = self.services.get(service) else { return QUICK };
         let rows = self.sample(ids).filter_map(|id| Some((id, self.rows.get(id)?)));
-        usual_first_byte(&rows.collect::<Vec<_>>(), now)
+        median_first_byte(&rows.collect::<Vec<_>>(), now)
     }
 
     fn sample<'a>(&self, ids: &'a [TargetId]) -> impl Iterator<Item = &'a TargetId> + use<'a> {
@@ -208,13 +210,13 @@
         &self,
         row: &TargetRow,
         need: &PlacementQuery<'_>,
-        usual_first_byte: Duration,
+        median_first_byte: Duration,
         now: Instant,
     ) -> bool {
         if row.record.state != TargetState::Ready || row.loading || row.is_silent(now) {
             return false;
         }
-        let allowed = |model| self.begins_allowed(row, model, usual_first_byte, now);
+        let allowed = |model| self.begins_allowed(row, model, median_first_byte, now);
         need.model.is_none_or(allowed)
     }
 
@@ -244,7 +246,7 @@
             let times = if need.tried.is_empty() { 1.0 } else { RESUMED_CHARGE };
             cost += self.policy.old_version_charge * times;
         }
-        cost += self.policy.slow_charge * slowness(row, view.usual_first_byte, now);
+        cost += self.policy.slow_charge * slowness(row, view.median_first_byte, now);
         cost += row.health.failure_rate();
         Some(cost)
     }
@@ -281,7 +283,7 @@
 const MOST_SLOWNESS: f64 = 3.0;
 
 /// The time to the first byte at the middle target.
-fn usual_first_byte(able: &[(&TargetId, &TargetRow)], now: Instant) -> Duration {
+fn median_first_byte(able: &[(&TargetId, &TargetRow)], now: Instant) -> Duration {
     let mut times: Vec<Duration> = able.iter().filter_map(|(_, row)| row.first_byte(now)).collect();
     if times.is_empty() {
         return QUICK;
@@ -302,7 +304,7 @@
     /// The others' requests at a mean target.
     mean_others: f64,
     /// Time to the first byte at the middle target.
-    usual_first_byte: Duration,
+    median_first_byte: Duration,
     /// Newest version of the wanted model.
     newest: Option<u64>,
     /// Whether ejections and hangs do not count.
@@ -323,7 +325,7 @@
     /// request has been waited for in vain, 1.6 s with an objective of 0.4 s. It shows as dozens of
     /// late answers for each target. A charge would not keep them away while all are full.
     fn hangs(&self, row: &TargetRow, now: Instant) -> bool {
-        let limit = self.usual_first_byte.max(QUICK) * HANGING_TIMES;
+        let limit = self.median_first_byte.max(QUICK) * HANGING_TIMES;
         !self.spared && row.longest_awaited(now).is_some_and(|awaited| awaited > limit)
     }
 
@@ -340,7 +342,7 @@
         let mut untried = able.iter().filter(|(id, _)| !need.tried.contains(*id));
         let mut view = Self {
             mean_others: mean_of_others(able, now),
-            usual_first_byte: usual_first_byte(able, now),
+            median_first_byte: median_first_byte(able, now),
             newest: need.model.and_then(|model| newest_version(able, model)),
             spared: false,
             all_narrow: untried.all(|(_, row)| !row.link_delay.is_zero()),
--- a/crates/serving/src/target_table.rs
+++ b/crates/serving/src/target_table.rs
@@ -91,7 +91,7 @@
     /// then held 20 requests in 16 places on average, and the time to the first byte at the middle
     /// request was 490 ms instead of 270 ms. Each entry therefore takes its part of what is free,
     /// and keeps what it has.
-    pub fn set_sharers(&mut self, entries: usize) {
+    pub fn set_entry_count(&mut self, entries: usize) {
         self.sharers = entries.max(1);
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Takes in what control member `source` passes on about a target.
-    pub fn note_target(&mut self, source: u32, news: &TargetNews, now: Instant) {
+    pub fn apply_target(&mut self, source: u32, news: &TargetNews, now: Instant) {
         let id = &news.record.id;
         if self.is_outdated(id, now) {
             return;
@@ -159,30 +159,30 @@
         self.current.insert(id.name.clone(), id.incarnation);
         let engine = self.engines.get(&news.record.address).cloned();
         if let Some((engine, seen_at)) = engine {
-            self.apply_engine(&engine, seen_at);
+            self.update_engine_rows(&engine, seen_at);
         }
     }
 
     /// Takes in what an agent sees of its engine.
-    pub fn note_engine(&mut self, news: &EngineNews, now: Instant) {
+    pub fn apply_engine(&mut self, news: &EngineNews, now: Instant) {
         let seen_at = told_at(news.age_millis, now);
         if self.engines.get(&news.address).is_some_and(|(_, held_at)| *held_at > seen_at) {
             return;
         }
         self.engines.insert(news.address, (news.clone(), seen_at));
-        self.apply_engine(news, seen_at);
+        self.update_engine_rows(news, seen_at);
     }
 
-    fn apply_engine(&mut self, news: &EngineNews, seen_at: Instant) {
+    fn update_engine_rows(&mut self, news: &EngineNews, seen_at: Instant) {
         for id in self.by_address.get(&news.address).into_iter().flatten() {
             if let Some(row) = self.rows.get_mut(id) {
-                row.note_engine(news, seen_at);
+                row.apply_engine(news, seen_at);
             }
         }
     }
 
     /// Notes that a run of a target has left, for good, and every earlier one with it.
-    pub fn note_gone(&mut self, id: &TargetId, now: Instant) {
+    pub fn remove_target(&mut self, id: &TargetId, now: Instant) {
         if let Some(held) = self.current.get(&id.name).filter(|held| **held <= id.incarnation) {
             self.forget(&TargetId::new(&id.name, *held));
         }
@@ -242,7 +242,7 @@
     }
 
     /// Notes a named version; from `limit` after it was named no request may begin on an older one.
-    pub fn note_version(&mut self, named: &NamedVersion, limit: Duration, now: Instant) {
+    pub fn apply_version(&mut self, named: &NamedVersion, limit: Duration, now: Instant) {
         let floors = self.floors.entry(named.model.clone()).or_default();
         if floors.iter().any(|floor| floor.version == named.version) {
             return;
@@ -263,7 +263,7 @@
 
     /// By when a request that was sent to a target must have begun there, if the target's weights
     /// must not be used for ever.
-    pub fn leave_by(&self, id: &TargetId, model: &ModelName) -> Option<Instant> {
+    pub fn start_deadline(&self, id: &TargetId, model: &ModelName) -> Option<Instant> {
         let held = self.rows.get(id)?.held_version(model)?;
         let newer = self.floors.get(model)?.iter().filter(|floor| floor.version > held);
         newer.map(|floor| floor.enforced_at).min()
@@ -284,11 +284,11 @@
         &self,
         row: &TargetRow,
         model: &ModelName,
-        usual_first_byte: Duration,
+        median_first_byte: Duration,
         now: Instant,
     ) -> bool {
         let Some(held) = row.held_version(model) else { return false };
-        let slow = row.slowest(now).filter(|slowest| *slowest > usual_first_byte * SLOW_TIMES);
+        let slow = row.slowest(now).filter(|slowest| *slowest > median_first_byte * SLOW_TIMES);
         let wait = row.first_byte(now).max(slow).unwrap_or_default().max(USUAL_FIRST_BYTE);
         held >= self.lowest_version(model, now + wait * WAITS_AHEAD)
     }
@@ -299,25 +299,25 @@
     }
 
     /// Notes how busy a target says it is.
-    pub fn note_load(&mut self, id: &TargetId, busy: u32, now: Instant) {
+    pub fn record_load(&mut self, id: &TargetId, busy: u32, now: Instant) {
         let part = self.own_part();
         if let Some(row) = self.rows.get_mut(id) {
-            row.note_load(busy, now, part);
+            row.record_load(busy, now, part);
         }
     }
 
     /// Notes how busy the target at an address was at some earlier moment.
-    pub fn note_load_at(&mut self, address: SocketAddr, busy: u32, measured_at: Instant) {
+    pub fn record_load_at(&mut self, address: SocketAddr, busy: u32, measured_at: Instant) {
         let part = self.own_part();
         for id in self.by_address.get(&address).into_iter().flatten() {
             if let Some(row) = self.rows.get_mut(id) {
-                row.note_load(busy, measured_at, part);
+                row.record_load(busy, measured_at, part);
             }
         }
     }
 
     /// Notes that a request goes to a target.
-    pub fn begin(&mut self, id: &TargetId, now: Instant) {
+    pub fn start_attempt(&mut self, id: &TargetId, now: Instant) {
         if let Some(row) = self.rows.get_mut(id) {
             row.own_in_flight += 1;
             row.own_changed(now);
@@ -325,7 +325,7 @@
     }
 
     /// Notes that a request at a target has ended. Returns whether the target was ejected.
-    pub fn end(&mut self, id: &TargetId, outcome: AttemptOutcome, now: Instant) -> bool {
+    pub fn finish_attempt(&mut self, id: &TargetId, outcome: AttemptOutcome, now: Instant) -> bool {
         let Some(row) = self.rows.get_mut(id) else { return false };
         row.own_in_flight = row.own_in_flight.saturating_sub(1);
         row.own_changed(now);
@@ -336,17 +336,17 @@
     }
 
     /// Notes that a request was sent to a target.
-    pub fn note_sent(&mut self, id: &TargetId, sent_at: Instant) {
+    pub fn record_sent(&mut self, id: &TargetId, sent_at: Instant) {
         if let Some(row) = self.rows.get_mut(id) {
             row.awaited.push(sent_at);
         }
     }
 
     /// Notes that the first byte of an answer came, or that it was waited for in vain until now.
-    pub fn note_first_byte(&mut self, id: &TargetId, sent_at: Instant, now: Instant) {
+    pub fn record_first_byte(&mut self, id: &TargetId, sent_at: Instant, now: Instant) {
         if let Some(row) = self.rows.get_mut(id) {
             row.stop_awaiting(sent_at);
-            row.note_first_byte(now.saturating_duration_since(sent_at), now);
+            row.record_first_byte(now.saturating_duration_since(sent_at), now);
         }
     }
 
--- a/crates/serving/src/target_table/row.rs
+++ b/crates/serving/src/target_table/row.rs
@@ -140,7 +140,7 @@
     /// former run is taken for the later one's. It would show as requests that the engine refuses
     /// for want of weights. Where both runs are stated they must be the same; a later run at the
     /// address means that this one holds nothing any more.
-    pub(super) fn note_engine(&mut self, news: &EngineNews, seen_at: Instant) {
+    pub(super) fn apply_engine(&mut self, news: &EngineNews, seen_at: Instant) {
         let own = self.record.id.incarnation;
         let stated = own != Incarnation::UNSTATED && news.incarnation != Incarnation::UNSTATED;
         if stated && news.incarnation < own {
@@ -160,7 +160,7 @@
     }
 
     /// Takes in the time to an answer's first byte.
-    pub(super) fn note_first_byte(&mut self, took: Duration, now: Instant) {
+    pub(super) fn record_first_byte(&mut self, took: Duration, now: Instant) {
         let mean = match self.first_byte {
             Some((held, _)) => held.mul_f64(1.0 - NEW_WEIGHT) + took.mul_f64(NEW_WEIGHT),
             None => took,
@@ -231,7 +231,7 @@
     /// Takes a sample in unless a later one is known. What this entry itself had there at that
     /// moment is taken out of it, so that its own requests since are not forgotten and its earlier
     /// ones not counted twice.
-    pub(super) fn note_load(&mut self, busy: u32, measured_at: Instant, part: EntryPart) {
+    pub(super) fn record_load(&mut self, busy: u32, measured_at: Instant, part: EntryPart) {
         // A sample from before this run was heard of may be the former run's at the same address.
         if measured_at < self.known_since || self.load.is_some_and(|held| held.at > measured_at) {
             return;
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -139,11 +139,11 @@
         let entry = |_| {
             let mut table = TargetTable::new(script.placement, zone.clone());
             if script.aware {
-                table.set_sharers(script.entries);
+                table.set_entry_count(script.entries);
             }
             for number in 0..script.engines {
                 let record = target_record(number, &script, &service, &model, &zone);
-                table.note_target(0, &TargetNews { record, silent: false, age_millis: 0 }, now);
+                table.apply_target(0, &TargetNews { record, silent: false, age_millis: 0 }, now);
             }
             LoadEntry { table, queue: WaitQueue::new(script.waiting) }
         };
@@ -177,7 +177,7 @@
     fn began(&mut self, id: u64, now: Instant) {
         let Some(placed) = self.placed.get(&id) else { return };
         let table = &mut self.entries[placed.entry].table;
-        table.note_first_byte(&target_id(placed.target), placed.sent, now);
+        table.record_first_byte(&target_id(placed.target), placed.sent, now);
         if now - placed.due <= self.script.objective {
             self.result.in_time += 1;
         } else {
@@ -188,7 +188,7 @@
     fn ended(&mut self, id: u64, now: Instant) {
         let Some(placed) = self.placed.swap_remove(&id) else { return };
         let table = &mut self.entries[placed.entry].table;
-        table.end(&target_id(placed.target), AttemptOutcome::Answered, now);
+        table.finish_attempt(&target_id(placed.target), AttemptOutcome::Answered, now);
     }
 
     fn begin_or_end_outage(&mut self, elapsed: Duration, now: Instant) {
@@ -209,7 +209,7 @@
                 age_millis: 0,
             };
             for entry in &mut self.entries {
-                entry.table.note_engine(&news, now);
+                entry.table.apply_engine(&news, now);
             }
         }
     }
@@ -224,7 +224,7 @@
             let Some((_, busy)) = self.reports.pop_front() else { return };
             for entry in &mut self.entries {
                 for (number, busy) in busy.iter().enumerate() {
-                    entry.table.note_load_at(address(number), *busy, now - REPORT_AGE);
+                    entry.table.record_load_at(address(number), *busy, now - REPORT_AGE);
                 }
             }
         }
@@ -238,7 +238,7 @@
         if self.in_outage {
             return self.hold_or_refuse(at, id, now);
         }
-        let usual = self.entries[at].table.usual_first_byte(&self.service, now);
+        let usual = self.entries[at].table.median_first_byte(&self.service, now);
         let trying_for = self.due.get(&id).map_or(Duration::ZERO, |due| now - *due);
         let known = if self.script.late_behind { trying_for } else { Duration::ZERO };
         let claim = WaitUrgency::new(1, self.script.objective, known);
@@ -304,13 +304,13 @@
             model: Some(&self.model),
             tried: &[],
             late,
-            begin_by: None,
+            first_byte_deadline: None,
         };
         let PlacementOutcome::Target(target) = self.entries[at].table.choose(&need, now) else {
             return false;
         };
-        self.entries[at].table.begin(&target, now);
-        self.entries[at].table.note_sent(&target, now);
+        self.entries[at].table.start_attempt(&target, now);
+        self.entries[at].table.record_sent(&target, now);
         let queue = &mut self.entries[at].queue;
         if late {
             queue.note_late_placed(now)
--- a/tests/all/incarnations.rs
+++ b/tests/all/incarnations.rs
@@ -106,26 +106,26 @@
 async fn nothing_is_carried_over_to_a_new_run() {
     let now = Instant::now();
     let mut table = empty_table();
-    table.note_target(0, &news(ready(run(1), 7)), now);
+    table.apply_target(0, &news(ready(run(1), 7)), now);
     for _ in 0..4 {
-        table.begin(&id(run(1)), now);
+        table.start_attempt(&id(run(1)), now);
     }
-    table.note_load(&id(run(1)), 4, now);
+    table.record_load(&id(run(1)), 4, now);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Full);
     let later = now + Duration::from_secs(2);
-    table.note_target(0, &news(ready(run(2), 1)), later);
+    table.apply_target(0, &news(ready(run(2), 1)), later);
     assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(run(2))));
     // The former run's requests end now; that frees nothing and says nothing of the new run.
     for _ in 0..4 {
-        table.begin(&id(run(2)), later);
+        table.start_attempt(&id(run(2)), later);
     }
     for _ in 0..4 {
-        assert!(!table.end(&id(run(1)), AttemptOutcome::Unreachable, later));
+        assert!(!table.finish_attempt(&id(run(1)), AttemptOutcome::Unreachable, later));
     }
     assert_eq!(choose(&table, &[], later), PlacementOutcome::Full);
     // A sample of the former run at the same address is on its way.
-    table.end(&id(run(2)), AttemptOutcome::Answered, later);
-    table.note_load_at(address(), 4, now + Duration::from_secs(1));
+    table.finish_attempt(&id(run(2)), AttemptOutcome::Answered, later);
+    table.record_load_at(address(), 4, now + Duration::from_secs(1));
     assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(run(2))));
 }
 
@@ -144,19 +144,19 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.note_target(0, &news(ready(run(1), 1)), now);
+    table.apply_target(0, &news(ready(run(1), 1)), now);
     // The engine is seen to have started again before it announces itself.
-    table.note_engine(&engine(run(2), Vec::new()), now);
+    table.apply_engine(&engine(run(2), Vec::new()), now);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::NoTarget);
     let empty = TargetRecord { models: Vec::new(), ..ready(run(2), 1) };
-    table.note_target(0, &news(empty), now);
-    table.note_engine(&engine(run(1), held(1)), now);
+    table.apply_target(0, &news(empty), now);
+    table.apply_engine(&engine(run(1), held(1)), now);
     assert_eq!(
         choose(&table, &[], now),
         PlacementOutcome::NoTarget,
         "the former run's weights are gone"
     );
-    table.note_engine(&engine(run(2), held(1)), now);
+    table.apply_engine(&engine(run(2), held(1)), now);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(run(2))));
 }
 
@@ -168,7 +168,7 @@
     let mut registry = TargetRegistry::new(SILENCE);
     let mut table = empty_table();
     registry.announce(ready(run(5), 1), now);
-    table.note_target(0, &registry.targets_since(0, now)[0], now);
+    table.apply_target(0, &registry.targets_since(0, now)[0], now);
     let mut at = now;
     let mut seen = registry.number();
     for sequence in 1..61 {
@@ -176,13 +176,13 @@
         registry.announce(ready(run(3), sequence), at);
         registry.expire(at);
         for news in registry.targets_since(seen, at) {
-            table.note_target(0, &news, at);
+            table.apply_target(0, &news, at);
         }
         seen = registry.number();
     }
     at += Duration::from_secs(1);
     assert_eq!(registry.announce(ready(run(3), 61), at), AnnounceOutcome::Taken);
-    table.note_target(0, &registry.targets_since(seen, at)[0], at);
+    table.apply_target(0, &registry.targets_since(seen, at)[0], at);
     assert_eq!(choose(&table, &[], at), PlacementOutcome::Target(id(run(3))));
 }
 
@@ -192,7 +192,7 @@
     let now = Instant::now();
     let mut table = empty_table();
     let slow = TargetRecord { cold_millis: u64::MAX, ..ready(run(1), 1) };
-    table.note_target(0, &news(slow), now);
+    table.apply_target(0, &news(slow), now);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(run(1))));
 }
 
@@ -250,10 +250,10 @@
                 Word::Leave(id) => { members[at].remove(&id, now); }
             }
             for gone in members[at].gone_since(seen[at]) {
-                table.note_gone(&gone, now);
+                table.remove_target(&gone, now);
             }
             for news in members[at].targets_since(seen[at], now) {
-                table.note_target(at as u32, &news, now);
+                table.apply_target(at as u32, &news, now);
             }
             seen[at] = members[at].number();
         }
--- a/tests/all/narrow_links.rs
+++ b/tests/all/narrow_links.rs
@@ -72,23 +72,23 @@
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for host in [1, 2] {
-        table.note_engine(&link_news(host, 1_000), now);
+        table.apply_engine(&link_news(host, 1_000), now);
     }
     for _ in 0..50 {
         assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(3)));
     }
     for _ in 0..4 {
-        table.begin(&id(3), now);
+        table.start_attempt(&id(3), now);
     }
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Full, "a place is waited for");
     let retried = choose(&table, &[id(3)], now);
     assert!(matches!(retried, PlacementOutcome::Target(_)), "nothing better is left to it");
-    table.note_engine(&link_news(3, 1_000), now);
+    table.apply_engine(&link_news(3, 1_000), now);
     assert!(
         matches!(choose(&table, &[], now), PlacementOutcome::Target(_)),
         "there is nothing better"
     );
-    table.note_engine(&link_news(1, 0), now);
+    table.apply_engine(&link_news(1, 0), now);
     for _ in 0..50 {
         assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)), "it has widened");
     }
--- a/tests/all/serving_tables.rs
+++ b/tests/all/serving_tables.rs
@@ -52,7 +52,7 @@
 pub(crate) fn table(hosts: &[u8], now: Instant) -> TargetTable {
     let mut table = TargetTable::new(PlacementPolicy::default(), zone("z1"));
     for host in hosts {
-        table.note_target(0, &news(record(*host, 1, TargetState::Ready)), now);
+        table.apply_target(0, &news(record(*host, 1, TargetState::Ready)), now);
     }
     table
 }
@@ -76,7 +76,7 @@
     model: &'a ModelName,
     tried: &'a [TargetId],
 ) -> PlacementQuery<'a> {
-    PlacementQuery { service, model: Some(model), tried, late: false, begin_by: None }
+    PlacementQuery { service, model: Some(model), tried, late: false, first_byte_deadline: None }
 }
 
 pub(crate) fn choose(table: &TargetTable, tried: &[TargetId], now: Instant) -> PlacementOutcome {
@@ -128,7 +128,7 @@
 async fn targets_outlive_all_of_control() {
     let now = Instant::now();
     let mut table = table(&[1], now);
-    table.note_target(1, &news(record(1, 1, TargetState::Ready)), now);
+    table.apply_target(1, &news(record(1, 1, TargetState::Ready)), now);
     table.source_lost(0);
     table.source_lost(1);
     let later = now + Duration::from_secs(600);
@@ -147,7 +147,7 @@
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)));
     let later = now + Duration::from_secs(5);
     assert_eq!(choose(&table, &[], later), PlacementOutcome::NoTarget);
-    table.note_target(0, &news(record(1, 2, TargetState::Ready)), later);
+    table.apply_target(0, &news(record(1, 2, TargetState::Ready)), later);
     assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
@@ -155,12 +155,12 @@
 async fn full_targets_get_nothing_and_others_do() {
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
-    table.note_load(&id(1), 4, now);
+    table.record_load(&id(1), 4, now);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(2)), "a new target is tried");
-    table.note_load(&id(2), 0, now);
+    table.record_load(&id(2), 0, now);
     for _ in 0..4 {
         assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(2)));
-        table.begin(&id(2), now);
+        table.start_attempt(&id(2), now);
     }
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Full);
     // What others do there fades, so that nobody is avoided for ever on an old word.
@@ -173,15 +173,15 @@
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
     for at in 0..100 {
-        table.begin(&id(1), now);
+        table.start_attempt(&id(1), now);
         let outcome = if at % 50 == 49 { AttemptOutcome::Failed } else { AttemptOutcome::Answered };
-        assert!(!table.end(&id(1), outcome, now), "one in fifty must stay in service");
+        assert!(!table.finish_attempt(&id(1), outcome, now), "one in fifty must stay in service");
     }
     let mut rested = false;
     for at in 0..12 {
-        table.begin(&id(2), now);
+        table.start_attempt(&id(2), now);
         let outcome = if at % 2 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Answered };
-        rested |= table.end(&id(2), outcome, now);
+        rested |= table.finish_attempt(&id(2), outcome, now);
     }
     assert!(rested);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)));
@@ -300,8 +300,8 @@
     let mut table = table(&[1, 2, 3], now);
     for host in [1, 2, 3] {
         for _ in 0..6 {
-            table.begin(&id(host), now);
-            table.end(&id(host), AttemptOutcome::Failed, now);
+            table.start_attempt(&id(host), now);
+            table.finish_attempt(&id(host), AttemptOutcome::Failed, now);
         }
     }
     assert!(matches!(choose(&table, &[], now), PlacementOutcome::Target(_)));
@@ -317,9 +317,9 @@
     let mut table = table(&[1, 2, 3, 4], start);
     let usual = Duration::from_millis(120);
     for host in 1..=4 {
-        table.note_first_byte(&id(host), start - usual, start);
+        table.record_first_byte(&id(host), start - usual, start);
     }
-    table.note_sent(&id(1), start);
+    table.record_sent(&id(1), start);
     let hits = |table: &TargetTable, now| {
         (0..400).filter(|_| choose(table, &[], now) == PlacementOutcome::Target(id(1))).count()
     };
@@ -341,7 +341,7 @@
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for (host, millis) in [(1, 120), (2, 150), (3, 1_500)] {
-        table.note_first_byte(&id(host), now - Duration::from_millis(millis), now);
+        table.record_first_byte(&id(host), now - Duration::from_millis(millis), now);
     }
     let drawn = |now| {
         (0..600).filter(|_| choose(&table, &[], now) == PlacementOutcome::Target(id(3))).count()
@@ -363,7 +363,7 @@
     // Two targets look empty, the others three quarters full.
     for entry in &mut entries {
         for host in &hosts {
-            entry.note_load(&id(*host), if *host <= 2 { 0 } else { 3 }, now);
+            entry.record_load(&id(*host), if *host <= 2 { 0 } else { 3 }, now);
         }
     }
     let mut arrivals = vec![0_u32; usize::from(TARGETS) + 1];
@@ -372,7 +372,7 @@
         let PlacementOutcome::Target(target) = choose(entry, &[], now) else {
             panic!("there is room")
         };
-        entry.begin(&target, now);
+        entry.start_attempt(&target, now);
         let host: usize = target.name.trim_start_matches("i-").parse().expect("a number");
         arrivals[host] += 1;
     }
@@ -390,20 +390,22 @@
     let mut table = table(&[1, 2], now);
     let (service, model, tried) = (service(), model(), [id(1)]);
     let leaves = now + Duration::from_millis(500);
-    let further = PlacementQuery { begin_by: Some(leaves), ..need(&service, &model, &tried) };
+    let further =
+        PlacementQuery { first_byte_deadline: Some(leaves), ..need(&service, &model, &tried) };
     assert_eq!(table.choose(&further, now), PlacementOutcome::Target(id(2)));
 
-    table.note_engine(&link_news(2, 500), now);
+    table.apply_engine(&link_news(2, 500), now);
     assert_eq!(table.choose(&further, now), PlacementOutcome::Full);
     assert_eq!(choose(&table, &tried, now), PlacementOutcome::Target(id(2)), "its caller stays");
-    table.note_engine(&link_news(2, 0), now);
+    table.apply_engine(&link_news(2, 0), now);
 
-    table.note_first_byte(&id(2), now - Duration::from_millis(700), now);
+    table.record_first_byte(&id(2), now - Duration::from_millis(700), now);
     assert_eq!(
         table.choose(&further, now),
         PlacementOutcome::Full,
         "its answers begin after the caller left"
     );
-    let patient = PlacementQuery { begin_by: Some(now + Duration::from_secs(1)), ..further };
+    let patient =
+        PlacementQuery { first_byte_deadline: Some(now + Duration::from_secs(1)), ..further };
     assert_eq!(table.choose(&patient, now), PlacementOutcome::Target(id(2)));
 }
--- a/tests/all/versions.rs
+++ b/tests/all/versions.rs
@@ -19,8 +19,8 @@
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
     let named = |version, age_millis| NamedVersion { model: model(), version, age_millis };
-    table.note_version(&named(2, 0), VERSION_LIMIT, now);
-    table.note_version(&named(3, 0), VERSION_LIMIT, now + Duration::from_secs(4));
+    table.apply_version(&named(2, 0), VERSION_LIMIT, now);
+    table.apply_version(&named(3, 0), VERSION_LIMIT, now + Duration::from_secs(4));
     assert!(matches!(choose(&table, &[], now), PlacementOutcome::Target(_)));
     let engine = |version, loading| EngineNews {
         address: address(2),
@@ -31,18 +31,18 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.note_engine(&engine(1, true), now);
+    table.apply_engine(&engine(1, true), now);
     assert_eq!(
         choose(&table, &[], now),
         PlacementOutcome::Target(id(1)),
         "2 accepts nothing while it loads"
     );
     let bound = now + VERSION_LIMIT;
-    table.note_engine(&engine(2, false), bound);
+    table.apply_engine(&engine(2, false), bound);
     assert_eq!(choose(&table, &[], bound), PlacementOutcome::Target(id(2)));
     let second_bound = bound + Duration::from_secs(4);
     assert_eq!(choose(&table, &[], second_bound), PlacementOutcome::NoTarget);
-    table.note_engine(&engine(3, false), second_bound);
+    table.apply_engine(&engine(3, false), second_bound);
     assert_eq!(choose(&table, &[], second_bound), PlacementOutcome::Target(id(2)));
 }
 
@@ -54,7 +54,7 @@
 async fn full_targets_with_old_weights_are_left_earlier() {
     let now = Instant::now();
     let mut table = table(&[1], now);
-    table.note_version(
+    table.apply_version(
         &NamedVersion { model: model(), version: 2, age_millis: 0 },
         VERSION_LIMIT,
         now,
@@ -62,7 +62,7 @@
     let bound = now + VERSION_LIMIT;
     let at = bound - Duration::from_millis(1_500);
     assert_eq!(choose(&table, &[], at), PlacementOutcome::Target(id(1)));
-    table.note_first_byte(&id(1), at - Duration::from_millis(1_200), at);
+    table.record_first_byte(&id(1), at - Duration::from_millis(1_200), at);
     assert_eq!(choose(&table, &[], at), PlacementOutcome::NoTarget);
     let early = bound - Duration::from_millis(4_000);
     assert_eq!(choose(&table, &[], early), PlacementOutcome::Target(id(1)));
@@ -76,12 +76,12 @@
     let now = Instant::now();
     let mut table = table(&[1], now);
     let (target, model) = (id(1), model());
-    assert_eq!(table.leave_by(&target, &model), None);
+    assert_eq!(table.start_deadline(&target, &model), None);
     for (version, later) in [(2, 0), (3, 4)] {
         let named = NamedVersion { model: model.clone(), version, age_millis: 0 };
-        table.note_version(&named, VERSION_LIMIT, now + Duration::from_secs(later));
+        table.apply_version(&named, VERSION_LIMIT, now + Duration::from_secs(later));
     }
-    assert_eq!(table.leave_by(&target, &model), Some(now + VERSION_LIMIT));
+    assert_eq!(table.start_deadline(&target, &model), Some(now + VERSION_LIMIT));
     let switched = EngineNews {
         address: address(1),
         incarnation: Incarnation::UNSTATED,
@@ -91,8 +91,11 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.note_engine(&switched, now);
-    assert_eq!(table.leave_by(&target, &model), Some(now + VERSION_LIMIT + Duration::from_secs(4)));
+    table.apply_engine(&switched, now);
+    assert_eq!(
+        table.start_deadline(&target, &model),
+        Some(now + VERSION_LIMIT + Duration::from_secs(4))
+    );
 }
 
 #[actix_rt::test]
@@ -109,7 +112,7 @@
         age_millis: 0,
     };
     let at = now + Duration::from_millis(10);
-    table.note_engine(&fresh, at);
+    table.apply_engine(&fresh, at);
     assert_eq!(
         choose(&table, &[], at),
         PlacementOutcome::NoTarget,
@@ -117,7 +120,7 @@
     );
     let mut old = news(record(1, 2, TargetState::Ready));
     old.age_millis = 5_000;
-    table.note_target(0, &old, at);
+    table.apply_target(0, &old, at);
     assert_eq!(choose(&table, &[], at), PlacementOutcome::NoTarget);
 }
 
@@ -148,16 +151,16 @@
     let millis = Duration::from_millis;
     let mut table = table(&[1, 2, 3, 4], start);
     let named = NamedVersion { model: model(), version: 2, age_millis: 0 };
-    table.note_version(&named, VERSION_LIMIT, start);
+    table.apply_version(&named, VERSION_LIMIT, start);
     for host in 1..=4 {
-        table.begin(&id(host), start);
-        table.note_sent(&id(host), start);
+        table.start_attempt(&id(host), start);
+        table.record_sent(&id(host), start);
         let took = if host == 1 { millis(1_300) } else { millis(150) };
-        table.note_first_byte(&id(host), start, start + took);
-        table.end(&id(host), AttemptOutcome::Answered, start + took);
+        table.record_first_byte(&id(host), start, start + took);
+        table.finish_attempt(&id(host), AttemptOutcome::Answered, start + took);
     }
-    table.begin(&id(2), start + millis(1_400));
-    table.end(&id(2), AttemptOutcome::Unreachable, start + millis(2_400));
+    table.start_attempt(&id(2), start + millis(1_400));
+    table.finish_attempt(&id(2), AttemptOutcome::Unreachable, start + millis(2_400));
     // The agent beside the third finds its link slow.
     let narrow = EngineNews {
         address: address(3),
@@ -168,8 +171,8 @@
         link_delay_millis: 1_000,
         age_millis: 0,
     };
-    table.note_engine(&narrow, start + millis(2_500));
-    table.note_engine(&EngineNews { link_delay_millis: 0, ..narrow }, start + millis(2_600));
+    table.apply_engine(&narrow, start + millis(2_500));
+    table.apply_engine(&EngineNews { link_delay_millis: 0, ..narrow }, start + millis(2_600));
     // Four seconds without a request to any: what was measured is old.
     let before = start + VERSION_LIMIT - millis(1_200);
     for _ in 0..40 {
@@ -228,7 +231,7 @@
     let now = Instant::now();
     let later = now + Duration::from_secs(4);
     let mut table = table(&[1, 2], now);
-    assert!(table.is_expected(&service(), now), "it started a moment ago");
+    assert!(table.expects_capacity(&service(), now), "it started a moment ago");
     let lacking = |host, stalled| EngineNews {
         address: address(host),
         incarnation: Incarnation::UNSTATED,
@@ -238,12 +241,12 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.note_engine(&lacking(1, true), later);
-    table.note_engine(&lacking(2, false), later);
+    table.apply_engine(&lacking(1, true), later);
+    table.apply_engine(&lacking(2, false), later);
     assert_eq!(choose(&table, &[], later), PlacementOutcome::NoTarget);
-    assert!(table.is_expected(&service(), later));
-    table.note_engine(&lacking(2, true), later);
-    assert!(!table.is_expected(&service(), later));
+    assert!(table.expects_capacity(&service(), later));
+    table.apply_engine(&lacking(2, true), later);
+    assert!(!table.expects_capacity(&service(), later));
 }
 
 /// What users would see: engines that take an overtaken version, out of service twice, although the newest
