--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -158,7 +158,7 @@
     let in_outage = choice == PlacementOutcome::NoTarget;
     match choice {
         PlacementOutcome::NoTarget if !places.targets.expects_capacity(call.service, now) => {
-            let after = places.queue(call.service).return_after(rand::random());
+            let after = places.queue(call.service).retry_after(rand::random());
             return Ok(PlaceReply::NoTarget(after));
         }
         PlacementOutcome::Target(target) if nobody_waits => {
@@ -169,7 +169,7 @@
         }
         PlacementOutcome::Target(_) | PlacementOutcome::Full | PlacementOutcome::NoTarget => {}
     }
-    let claim = if in_outage { call.claim.in_outage() } else { call.claim };
+    let claim = if in_outage { call.claim.for_outage() } else { call.claim };
     let (sender, receiver) = oneshot::channel();
     let request = WaitingRequest {
         model: call.model.cloned(),
@@ -183,7 +183,7 @@
     let limit = if in_outage { queue.outage_limit() } else { queue.wait_limit(&claim, usual) };
     let give_up_at = (now + limit).min(call.latest);
     let waits = if in_outage {
-        queue.hold(&claim, give_up_at, request)
+        queue.push_in_outage(&claim, give_up_at, request)
     } else {
         queue.push(&claim, give_up_at, request, now)
     };
@@ -194,22 +194,22 @@
             Err(WaitingPlace { receiver, give_up_at, withdrawal })
         }
         Err(_) => {
-            queue.note_rejected(now);
-            let after = queue.return_after(rand::random());
+            queue.record_rejected(now);
+            let after = queue.retry_after(rand::random());
             Ok(PlaceReply::Full(after))
         }
     }
 }
 
 fn note_placed(queue: &mut WaitQueue<WaitingRequest>, is_late: bool, now: Instant) {
-    if is_late { queue.note_late_placed(now) } else { queue.note_placed(now) }
+    if is_late { queue.record_late_placed(now) } else { queue.record_placed(now) }
 }
 
 fn full(shared: &GatewayShared, service: &ServiceName) -> PlaceReply {
     let mut places = shared.places.borrow_mut();
     let queue = places.queue(service);
-    queue.note_rejected(Instant::now());
-    PlaceReply::Full(queue.return_after(rand::random()))
+    queue.record_rejected(Instant::now());
+    PlaceReply::Full(queue.retry_after(rand::random()))
 }
 
 fn hold(
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -143,7 +143,7 @@
             routes_came: Notify::new(),
             places: RefCell::new(places),
             pool: RefCell::default(),
-            patience: RefCell::new(RetryDetector::new(options.waiting.shortest_return)),
+            patience: RefCell::new(RetryDetector::new(options.waiting.min_retry_after)),
             budgets: RefCell::default(),
             rosters: RefCell::default(),
             roster: RefCell::default(),
@@ -226,13 +226,13 @@
             return Duration::ZERO;
         }
         let now = Instant::now();
-        let note = |left| self.patience.borrow_mut().note(&route.name, left, now);
+        let note = |left| self.patience.borrow_mut().observe(&route.name, left, now);
         terms.time_left.map_or(Duration::ZERO, note)
     }
 
     /// Counts a caller that is asked to come back.
     pub(crate) fn note_return(&self, route: &RouteRecord) {
-        self.patience.borrow_mut().note_rejected(&route.name, Instant::now());
+        self.patience.borrow_mut().record_rejected(&route.name, Instant::now());
     }
 
     /// Takes one repeat out of a service's budget, if there is one.
--- a/crates/serving/src/retry_detector.rs
+++ b/crates/serving/src/retry_detector.rs
@@ -63,7 +63,7 @@
         *self.present.times.entry(step_of(time)).or_insert(0) += 1;
     }
 
-    fn note_rejected(&mut self, now: Instant) {
+    fn record_rejected(&mut self, now: Instant) {
         self.roll(now);
         self.present.rejected += 1;
     }
@@ -80,14 +80,14 @@
     }
 
     /// How long a caller with so much time left has been trying.
-    fn tried(&self, time_left: Duration, shortest_return: Duration) -> Duration {
+    fn tried(&self, time_left: Duration, min_retry_after: Duration) -> Duration {
         let counts = self.longest_first();
         let first = match most_frequent(&counts) {
             Some(usual) => usual,
             None if self.is_among_repeats(&counts, time_left) => {
                 let patient = patient_time(&counts);
                 // Nobody is asked to come back sooner, so who has more than that left is new.
-                if patient.saturating_sub(time_left) < shortest_return {
+                if patient.saturating_sub(time_left) < min_retry_after {
                     return Duration::ZERO;
                 }
                 patient
@@ -141,29 +141,29 @@
 #[derive(Debug)]
 pub struct RetryDetector {
     /// The soonest that rejected callers are asked to come back.
-    shortest_return: Duration,
+    min_retry_after: Duration,
     routes: IndexMap<String, RouteTimes>,
 }
 
 impl RetryDetector {
-    /// An empty table, where rejected callers come back after `shortest_return` at the soonest.
-    pub fn new(shortest_return: Duration) -> Self {
-        Self { shortest_return, routes: IndexMap::new() }
+    /// An empty table, where rejected callers come back after `min_retry_after` at the soonest.
+    pub fn new(min_retry_after: Duration) -> Self {
+        Self { min_retry_after, routes: IndexMap::new() }
     }
 
     /// Takes in the time that a caller of a route still has; returns how long it has been trying,
     /// zero where that cannot be told. Wrong by [`STEP`] where callers give themselves the same
     /// time, else by what they differ in.
-    pub fn note(&mut self, route: &str, time_left: Duration, now: Instant) -> Duration {
-        let shortest_return = self.shortest_return;
+    pub fn observe(&mut self, route: &str, time_left: Duration, now: Instant) -> Duration {
+        let min_retry_after = self.min_retry_after;
         let times = self.times(route, now);
         times.note(time_left, now);
-        times.tried(time_left, shortest_return)
+        times.tried(time_left, min_retry_after)
     }
 
     /// Counts a caller of a route that was rejected and asked to come back.
-    pub fn note_rejected(&mut self, route: &str, now: Instant) {
-        self.times(route, now).note_rejected(now);
+    pub fn record_rejected(&mut self, route: &str, now: Instant) {
+        self.times(route, now).record_rejected(now);
     }
 
     fn times(&mut self, route: &str, now: Instant) -> &mut RouteTimes {
--- a/crates/serving/src/wait_queue.rs
+++ b/crates/serving/src/wait_queue.rs
@@ -53,9 +53,9 @@
     /// Most requests waiting.
     pub max_waiters: usize,
     /// Shortest time after which a refused caller is asked to come back.
-    pub shortest_return: Duration,
+    pub min_retry_after: Duration,
     /// Longest time after which a refused caller is asked to come back.
-    pub longest_return: Duration,
+    pub max_retry_after: Duration,
 }
 
 impl Default for WaitPolicy {
@@ -70,8 +70,8 @@
             late_limit: Duration::from_millis(1_500),
             outage_limit: Duration::from_millis(1_500),
             max_waiters: 512,
-            shortest_return: Duration::from_millis(1_000),
-            longest_return: Duration::from_millis(2_000),
+            min_retry_after: Duration::from_millis(1_000),
+            max_retry_after: Duration::from_millis(2_000),
         }
     }
 }
@@ -113,7 +113,7 @@
 
     /// The claim of a request that waits for the end of an outage: it will be late, and goes behind
     /// those that will not.
-    pub fn in_outage(self) -> Self {
+    pub fn for_outage(self) -> Self {
         let rank = match self.rank {
             WaitRank::InTime(priority) => WaitRank::Late(priority),
             WaitRank::Resumed | WaitRank::Late(_) => self.rank,
@@ -215,19 +215,19 @@
     }
 
     /// Counts a request that got a place, for the prediction.
-    pub fn note_placed(&mut self, now: Instant) {
+    pub fn record_placed(&mut self, now: Instant) {
         self.roll(now);
         self.present.placed += 1;
     }
 
     /// Counts a request that got a place although it was late already, for the prediction.
-    pub fn note_late_placed(&mut self, now: Instant) {
-        self.note_placed(now);
+    pub fn record_late_placed(&mut self, now: Instant) {
+        self.record_placed(now);
         self.present.placed_late += 1;
     }
 
     /// Counts a request that was rejected, on arrival or after a wait in vain.
-    pub fn note_rejected(&mut self, now: Instant) {
+    pub fn record_rejected(&mut self, now: Instant) {
         self.roll(now);
         self.present.rejected += 1;
     }
@@ -292,7 +292,7 @@
         now: Instant,
     ) -> Result<WaitTicket, T> {
         let hopeless = self.predicted_wait(claim, now).is_some_and(|wait| now + wait > give_up_at);
-        if hopeless { Err(payload) } else { self.hold(claim, give_up_at, payload) }
+        if hopeless { Err(payload) } else { self.push_in_outage(claim, give_up_at, payload) }
     }
 
     /// Adds a request that waits for the end of an outage, of which the places given before it say
@@ -300,7 +300,7 @@
     ///
     /// # Errors
     /// Returns the payload if the queue is full.
-    pub fn hold(
+    pub fn push_in_outage(
         &mut self,
         claim: &WaitUrgency,
         give_up_at: Instant,
@@ -321,7 +321,7 @@
     }
 
     /// Takes out all whose time has come.
-    pub fn expired(&mut self, now: Instant) -> Vec<T> {
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<T> {
         let due: Vec<WaitTicket> = self
             .waiters
             .iter()
@@ -338,8 +338,8 @@
 
     /// When a refused caller should come back. `point` is drawn evenly from 0 to 1 and spreads
     /// callers, since all those refused in one burst would otherwise return as another.
-    pub fn return_after(&self, point: f64) -> Duration {
-        let range = self.policy.longest_return.saturating_sub(self.policy.shortest_return);
-        self.policy.shortest_return + range.mul_f64(point.clamp(0.0, 1.0))
+    pub fn retry_after(&self, point: f64) -> Duration {
+        let range = self.policy.max_retry_after.saturating_sub(self.policy.min_retry_after);
+        self.policy.min_retry_after + range.mul_f64(point.clamp(0.0, 1.0))
     }
 }
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -250,18 +250,18 @@
     }
 
     fn hold_or_refuse(&mut self, at: usize, id: u64, now: Instant) {
-        let claim = WaitUrgency::new(1, self.script.objective, Duration::ZERO).in_outage();
+        let claim = WaitUrgency::new(1, self.script.objective, Duration::ZERO).for_outage();
         let queue = &mut self.entries[at].queue;
         let give_up_at = now + queue.outage_limit();
-        if !self.script.holds || queue.hold(&claim, give_up_at, id).is_err() {
+        if !self.script.holds || queue.push_in_outage(&claim, give_up_at, id).is_err() {
             self.refuse(at, id, now);
         }
     }
 
     fn refuse(&mut self, at: usize, id: u64, now: Instant) {
-        self.entries[at].queue.note_rejected(now);
+        self.entries[at].queue.record_rejected(now);
         if self.returned.insert(id) {
-            let after = self.entries[at].queue.return_after(rand::random());
+            let after = self.entries[at].queue.retry_after(rand::random());
             self.returning.push((now + after, id));
         } else {
             self.result.refused += 1;
@@ -279,7 +279,7 @@
 
     fn pump(&mut self, now: Instant) {
         for at in 0..self.entries.len() {
-            for id in self.entries[at].queue.expired(now) {
+            for id in self.entries[at].queue.remove_expired(now) {
                 self.refuse(at, id, now);
             }
             loop {
@@ -313,9 +313,9 @@
         self.entries[at].table.record_sent(&target, now);
         let queue = &mut self.entries[at].queue;
         if late {
-            queue.note_late_placed(now)
+            queue.record_late_placed(now)
         } else {
-            queue.note_placed(now)
+            queue.record_placed(now)
         }
         let number: usize = target.name.parse().expect("targets are named by number");
         self.engines[number].arrive(id, now);
--- a/tests/all/waiting.rs
+++ b/tests/all/waiting.rs
@@ -36,7 +36,7 @@
     let step = Duration::from_millis(10);
     let mut now = start;
     for _ in 0..100 {
-        queue.note_placed(now);
+        queue.record_placed(now);
         now += step;
     }
     let limit = queue.wait_limit(&claim(1), Duration::from_millis(100));
@@ -49,9 +49,9 @@
     assert!((0.7..=1.3).contains(&share), "{} taken, {expected} could be served", taken.len());
     let mut late = 0;
     for ticket in taken {
-        late += usize::from(!queue.expired(now).is_empty());
+        late += usize::from(!queue.remove_expired(now).is_empty());
         queue.remove(ticket);
-        queue.note_placed(now);
+        queue.record_placed(now);
         now += step;
     }
     assert!(late <= 5, "{late} waited in vain");
@@ -69,9 +69,9 @@
         let mut queue = WaitQueue::new(WaitPolicy::default());
         for number in 0..100 {
             if gives_late && number % 4 == 0 {
-                queue.note_late_placed(now);
+                queue.record_late_placed(now);
             } else {
-                queue.note_placed(now);
+                queue.record_placed(now);
             }
             now += step;
         }
@@ -89,7 +89,7 @@
     let mut now = Instant::now();
     let mut queue = WaitQueue::new(WaitPolicy::default());
     for _ in 0..20 {
-        queue.note_placed(now);
+        queue.record_placed(now);
         now += Duration::from_millis(50);
     }
     let give_up_at = now + Duration::from_millis(240);
@@ -138,34 +138,38 @@
 fn a_callers_time_tells_how_long_it_has_tried() {
     let millis = Duration::from_millis;
     let start = Instant::now();
-    let mut patience = RetryDetector::new(Duration::from_secs(1));
-    assert_eq!(patience.note("plan", millis(4_100), start), Duration::ZERO, "nothing is known yet");
+    let mut detector = RetryDetector::new(Duration::from_secs(1));
+    assert_eq!(
+        detector.observe("plan", millis(4_100), start),
+        Duration::ZERO,
+        "nothing is known yet"
+    );
     for number in 0..200 {
         let now = start + millis(number * 30);
         let first = if number % 2 == 0 { 6_000 } else { 5_994 };
-        assert_eq!(patience.note("plan", millis(first), now), Duration::ZERO);
+        assert_eq!(detector.observe("plan", millis(first), now), Duration::ZERO);
         for repeat in 0..3 {
             let left = 4_000 + (number * 37 + repeat * 331) % 1_000;
-            let tried = patience.note("plan", millis(left), now);
+            let tried = detector.observe("plan", millis(left), now);
             if number > 5 {
                 assert_eq!(tried, millis(6_000 - left), "{number}");
             }
         }
     }
-    // A few callers with more patience change nothing for the others.
+    // A few callers with longer timeouts change nothing for the others.
     let now = start + millis(6_000);
     for _ in 0..20 {
-        patience.note("plan", millis(6_600), now);
+        detector.observe("plan", millis(6_600), now);
     }
-    assert_eq!(patience.note("plan", millis(6_000), now), Duration::ZERO);
-    assert_eq!(patience.note("note", millis(1_000), now), Duration::ZERO, "another route");
+    assert_eq!(detector.observe("plan", millis(6_000), now), Duration::ZERO);
+    assert_eq!(detector.observe("note", millis(1_000), now), Duration::ZERO, "another route");
     // Callers begin to give themselves less time; soon that is the usual one.
     for number in 0..100 {
-        patience.note("plan", millis(3_000), now + millis(number * 110));
+        detector.observe("plan", millis(3_000), now + millis(number * 110));
     }
     let now = now + millis(11_000);
-    assert_eq!(patience.note("plan", millis(3_000), now), Duration::ZERO);
-    assert_eq!(patience.note("plan", millis(2_000), now), millis(1_000));
+    assert_eq!(detector.observe("plan", millis(3_000), now), Duration::ZERO);
+    assert_eq!(detector.observe("plan", millis(2_000), now), millis(1_000));
 }
 
 /// What users would see: most of a large site's callers are late, and rejected although there is
@@ -174,11 +178,11 @@
 #[test]
 fn callers_who_differ_in_patience_are_not_taken_for_repeats() {
     let start = Instant::now();
-    let mut patience = RetryDetector::new(Duration::from_secs(1));
+    let mut detector = RetryDetector::new(Duration::from_secs(1));
     for number in 0..400_u64 {
         let left = Duration::from_millis(5_000 + number * 613 % 1_500);
         let now = start + Duration::from_millis(number * 10);
-        let tried = patience.note("plan", left, now);
+        let tried = detector.observe("plan", left, now);
         assert!(number < 20 || tried.is_zero(), "{number}: {tried:?} of {left:?}");
     }
 }
@@ -191,39 +195,39 @@
 fn callers_who_come_back_are_known_where_patience_differs() {
     let millis = Duration::from_millis;
     let start = Instant::now();
-    let mut patience = RetryDetector::new(Duration::from_secs(1));
+    let mut detector = RetryDetector::new(Duration::from_secs(1));
     let (mut now, mut missed, mut repeats) = (start, 0, 0);
     for number in 0..2_000_u64 {
         now += millis(60);
         let first = 5_100 + number * 613 % 900;
-        assert!(patience.note("plan", millis(first), now).is_zero(), "{number}: a first try");
+        assert!(detector.observe("plan", millis(first), now).is_zero(), "{number}: a first try");
         let rejects = number > 300 && number % 4 == 0;
         if !rejects {
             continue;
         }
-        patience.note_rejected("plan", now);
+        detector.record_rejected("plan", now);
         let left = first - 1_000 - number * 37 % 1_000;
         repeats += 1;
-        missed += u32::from(patience.note("plan", millis(left), now).is_zero());
+        missed += u32::from(detector.observe("plan", millis(left), now).is_zero());
     }
     assert!(missed * 10 < repeats, "{missed} of {repeats} repeats were taken for first tries");
 }
 
-/// A few callers with little patience are not taken for repeats of the others, beyond as many as were
+/// A few callers with short timeouts are not taken for repeats of the others, beyond as many as were
 /// rejected.
 #[test]
 fn impatient_callers_count_as_repeats_no_oftener_than_callers_are_rejected() {
     let millis = Duration::from_millis;
     let mut now = Instant::now();
-    let mut patience = RetryDetector::new(Duration::from_secs(1));
+    let mut detector = RetryDetector::new(Duration::from_secs(1));
     let mut taken = 0;
     for number in 0..2_000_u64 {
         now += millis(20);
         let differs = number * 613 % 700;
         let left = if number % 2 == 0 { 6_000 - differs } else { 2_500 - differs };
-        taken += u32::from(!patience.note("plan", millis(left), now).is_zero());
+        taken += u32::from(!detector.observe("plan", millis(left), now).is_zero());
         if number % 20 == 0 {
-            patience.note_rejected("plan", now);
+            detector.record_rejected("plan", now);
         }
     }
     assert!(taken <= 300, "{taken} of 2,000, of which 100 were rejected");
@@ -256,16 +260,16 @@
     let mut now = Instant::now();
     let mut queue = WaitQueue::new(WaitPolicy::default());
     for _ in 0..10 {
-        queue.note_placed(now);
+        queue.record_placed(now);
         now += Duration::from_millis(60);
     }
     let give_up_at = now + queue.outage_limit();
     for number in 0..40 {
-        queue.hold(&claim(0).in_outage(), give_up_at, number).expect("it is held");
+        queue.push_in_outage(&claim(0).for_outage(), give_up_at, number).expect("it is held");
     }
-    queue.hold(&claim(7), give_up_at, 99).expect("it is held");
+    queue.push_in_outage(&claim(7), give_up_at, 99).expect("it is held");
     assert_eq!(queue.iter().next().map(|(_, number)| *number), Some(99));
-    assert_eq!(queue.expired(give_up_at).len(), 41);
+    assert_eq!(queue.remove_expired(give_up_at).len(), 41);
 }
 
 /// What users would see: no answer for good. For 1.2 s no engine takes anything, as after a restart of
@@ -299,11 +303,10 @@
 #[test]
 fn refused_callers_return_spread_out() {
     let queue: WaitQueue<()> = WaitQueue::new(WaitPolicy::default());
-    let times: Vec<Duration> =
-        (0..=10).map(|at| queue.return_after(f64::from(at) / 10.0)).collect();
+    let times: Vec<Duration> = (0..=10).map(|at| queue.retry_after(f64::from(at) / 10.0)).collect();
     assert!(times.windows(2).all(|pair| pair[0] < pair[1]));
-    assert_eq!(times[0], WaitPolicy::default().shortest_return);
-    assert_eq!(times[10], WaitPolicy::default().longest_return);
+    assert_eq!(times[0], WaitPolicy::default().min_retry_after);
+    assert_eq!(times[10], WaitPolicy::default().max_retry_after);
 }
 
 proptest! {
