--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -304,15 +304,17 @@
 fn placement_policy(overrides: &PolicyOverrides) -> PlacementPolicy {
     let usual = PlacementPolicy::default();
     PlacementPolicy {
-        late_fill: overrides.late_fill.unwrap_or(usual.late_fill),
-        late_reading: overrides.late_reading.unwrap_or(usual.late_reading),
-        zone_charge: overrides.zone_charge.unwrap_or(usual.zone_charge),
-        favour: overrides.favour.map_or(usual.favour, |favour| favour as i32),
-        old_version_charge: overrides.old_version_charge.unwrap_or(usual.old_version_charge),
-        slow_charge: overrides.slow_charge.unwrap_or(usual.slow_charge),
-        cold_charge: overrides.cold_charge.unwrap_or(usual.cold_charge),
-        shared_places: overrides.shared_places.unwrap_or(usual.shared_places),
-        skips_hanging: overrides.skips_hanging.unwrap_or(usual.skips_hanging),
+        late_max_fill: overrides.late_fill.unwrap_or(usual.late_max_fill),
+        late_prefills: overrides.late_reading.unwrap_or(usual.late_prefills),
+        cross_zone_penalty: overrides.zone_charge.unwrap_or(usual.cross_zone_penalty),
+        free_share_exponent: overrides
+            .favour
+            .map_or(usual.free_share_exponent, |favour| favour as i32),
+        old_version_penalty: overrides.old_version_charge.unwrap_or(usual.old_version_penalty),
+        slowness_penalty: overrides.slow_charge.unwrap_or(usual.slowness_penalty),
+        cold_start_penalty: overrides.cold_charge.unwrap_or(usual.cold_start_penalty),
+        limits_entry_share: overrides.shared_places.unwrap_or(usual.limits_entry_share),
+        skips_hung: overrides.skips_hanging.unwrap_or(usual.skips_hung),
         ejects: overrides.ejects.unwrap_or(usual.ejects),
         ..usual
     }
@@ -324,7 +326,7 @@
     WaitPolicy {
         late_limit: overrides.late_wait.unwrap_or(usual.late_limit),
         outage_limit: overrides.outage_wait.unwrap_or(usual.outage_limit),
-        quick_share: overrides.quick_share.unwrap_or(usual.quick_share),
+        overload_objective_share: overrides.quick_share.unwrap_or(usual.overload_objective_share),
         ..usual
     }
 }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -2,7 +2,7 @@
 //!
 //! Answers the load pattern of several entries that fill the same targets with views that lag by
 //! hundreds of milliseconds. All of them chasing the emptiest target would flood it. A target is
-//! therefore drawn at random by the free part of its places ([`PlacementPolicy::favour`]), so that
+//! therefore drawn at random by the free part of its places ([`PlacementPolicy::free_share_exponent`]), so that
 //! what all entries send until the next sample spreads as the free places do; and what an entry
 //! does not see of the others' requests fades from the last sample to the service's mean.
 
@@ -36,37 +36,37 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementPolicy {
     /// Requests that a target may hold, as a multiple of its places.
-    pub fill: f64,
+    pub max_fill: f64,
     /// The same for requests that are late already.
-    pub late_fill: f64,
+    pub late_max_fill: f64,
     /// Prompts of requests that are late already which targets may have to read at a time, for each
     /// target; an entry keeps to its part of them.
     ///
     /// Answers the load pattern after an outage: hundreds that were held go to engines that stand
     /// empty. An engine reads all that it admits in one pass, so that of a dozen at once nobody has
     /// its first event in less than 0.4 s, new requests among them.
-    pub late_reading: f64,
+    pub late_prefills: f64,
     /// Load that a target in another availability zone is charged, in parts of its places.
-    pub zone_charge: f64,
+    pub cross_zone_penalty: f64,
     /// Power of the free part of a target's places by which it is drawn: 0 draws evenly, 1 fills
     /// all alike, more favours the emptier ones but lets entries with the same view flood them.
-    pub favour: i32,
+    pub free_share_exponent: i32,
     /// Time in which a sample of the others' load fades to the mean.
-    pub fade: Duration,
+    pub load_decay: Duration,
     /// How long an entry keeps to its part of an engine's places after a sample.
-    pub part_life: Duration,
+    pub entry_share_max_age: Duration,
     /// Load that a target is charged while others hold a newer version: it will soon switch, and
     /// what runs there is then cut off or waited for.
-    pub old_version_charge: f64,
+    pub old_version_penalty: f64,
     /// Load that a target is charged for each time that its first bytes take as long again as
     /// usual in its service: a slow process, or a link that others have filled.
-    pub slow_charge: f64,
+    pub slowness_penalty: f64,
     /// Load that a target which started a moment ago is charged.
-    pub cold_charge: f64,
+    pub cold_start_penalty: f64,
     /// Whether each entry keeps to its part of an engine's places.
-    pub shared_places: bool,
+    pub limits_entry_share: bool,
     /// Whether targets that seem to hang are left out.
-    pub skips_hanging: bool,
+    pub skips_hung: bool,
     /// Whether targets that fail often are ejected.
     pub ejects: bool,
 }
@@ -74,18 +74,18 @@
 impl Default for PlacementPolicy {
     fn default() -> Self {
         Self {
-            fill: 1.0,
-            late_fill: 0.75,
-            late_reading: 4.0,
-            zone_charge: 0.25,
-            favour: 2,
-            fade: Duration::from_millis(1_500),
-            part_life: Duration::from_millis(1_100),
-            old_version_charge: 0.1,
-            slow_charge: 0.25,
-            cold_charge: 0.3,
-            shared_places: true,
-            skips_hanging: true,
+            max_fill: 1.0,
+            late_max_fill: 0.75,
+            late_prefills: 4.0,
+            cross_zone_penalty: 0.25,
+            free_share_exponent: 2,
+            load_decay: Duration::from_millis(1_500),
+            entry_share_max_age: Duration::from_millis(1_100),
+            old_version_penalty: 0.1,
+            slowness_penalty: 0.25,
+            cold_start_penalty: 0.3,
+            limits_entry_share: true,
+            skips_hung: true,
             ejects: true,
         }
     }
@@ -152,7 +152,7 @@
         let mut weighted: Vec<(f64, &TargetId)> = Vec::new();
         for (id, row) in untried {
             let spared = view.spared || !self.policy.ejects;
-            let hangs = self.policy.skips_hanging && view.hangs(row, now);
+            let hangs = self.policy.skips_hung && view.hangs(row, now);
             if hangs
                 || view.is_behind_narrow_link(row)
                 || !need.is_in_time(row, now)
@@ -162,7 +162,7 @@
             }
             let Some(cost) = self.cost(row, need, &view, now) else { continue };
             let free = (1.0 - cost).max(LEAST_FREE);
-            weighted.push((free.powi(self.policy.favour), id));
+            weighted.push((free.powi(self.policy.free_share_exponent), id));
         }
         draw(&weighted).map_or(PlacementOutcome::Full, |id| PlacementOutcome::Target(id.clone()))
     }
@@ -170,7 +170,7 @@
     /// Whether this entry awaits as many first bytes as are its part for requests that are late.
     fn reads_enough(&self, able: &[(&TargetId, &TargetRow)]) -> bool {
         let awaited: usize = able.iter().map(|(_, row)| row.awaited_count()).sum();
-        let part = able.len() as f64 * self.policy.late_reading * self.own_part().share;
+        let part = able.len() as f64 * self.policy.late_prefills * self.own_part().share;
         awaited as f64 >= part.max(1.0)
     }
 
@@ -230,23 +230,23 @@
     ) -> Option<f64> {
         let slots = f64::from(row.record.slots.max(1));
         let load = self.expected_load(row, view.mean_others, now);
-        let fill = if need.late { self.policy.late_fill } else { self.policy.fill };
+        let fill = if need.late { self.policy.late_max_fill } else { self.policy.max_fill };
         if load >= slots * fill || self.has_its_part(row, need, now) {
             return None;
         }
         let mut cost = load / slots;
         if row.record.zone != self.zone {
-            cost += self.policy.zone_charge;
+            cost += self.policy.cross_zone_penalty;
         }
         if now < row.cold_until {
-            cost += self.policy.cold_charge;
+            cost += self.policy.cold_start_penalty;
         }
         if need.model.and_then(|model| row.held_version(model)) != view.newest {
             // What was cut off once must not be cut off again.
             let times = if need.tried.is_empty() { 1.0 } else { RESUMED_CHARGE };
-            cost += self.policy.old_version_charge * times;
+            cost += self.policy.old_version_penalty * times;
         }
-        cost += self.policy.slow_charge * slowness(row, view.median_first_byte, now);
+        cost += self.policy.slowness_penalty * slowness(row, view.median_first_byte, now);
         cost += row.health.failure_rate();
         Some(cost)
     }
@@ -254,10 +254,10 @@
     /// Whether this entry has its part of an engine's places, by a sample that is fresh. Plain
     /// services answer within some ten milliseconds, so that any sample of them is stale.
     fn has_its_part(&self, row: &TargetRow, need: &PlacementQuery<'_>, now: Instant) -> bool {
-        let fresh = row
-            .load
-            .filter(|sample| now.saturating_duration_since(sample.at) < self.policy.part_life);
-        let shares = self.policy.shared_places && need.model.is_some();
+        let fresh = row.load.filter(|sample| {
+            now.saturating_duration_since(sample.at) < self.policy.entry_share_max_age
+        });
+        let shares = self.policy.limits_entry_share && need.model.is_some();
         shares && fresh.is_some_and(|sample| row.own_in_flight >= sample.granted)
     }
 
@@ -269,7 +269,7 @@
         let Some(sample) = row.load else { return own + mean * UNKNOWN_SHARE };
         let others = f64::from(sample.busy.saturating_sub(sample.own));
         let age = now.saturating_duration_since(sample.at);
-        let faded = (age.as_secs_f64() / self.policy.fade.as_secs_f64()).min(1.0);
+        let faded = (age.as_secs_f64() / self.policy.load_decay.as_secs_f64()).min(1.0);
         own + others * (1.0 - faded) + mean * faded
     }
 }
--- a/crates/serving/src/target_table.rs
+++ b/crates/serving/src/target_table.rs
@@ -96,7 +96,7 @@
     }
 
     pub(crate) fn own_part(&self) -> EntryPart {
-        EntryPart { fill: self.policy.fill, share: 1.0 / self.sharers as f64 }
+        EntryPart { fill: self.policy.max_fill, share: 1.0 / self.sharers as f64 }
     }
 
     /// Takes in what control member `source` passes on about a target.
--- a/crates/serving/src/wait_queue.rs
+++ b/crates/serving/src/wait_queue.rs
@@ -28,18 +28,18 @@
 pub struct WaitPolicy {
     /// Part of the latency objective that a request may spend waiting; the rest is for reading
     /// its prompt at the target.
-    pub objective_share: f64,
+    pub max_objective_share: f64,
     /// Time kept for the first byte at the target, as a multiple of what is usual there. A request
     /// that waits longer is late however soon it is then read, and keeps the next one from being
     /// in time.
-    pub reading_reserve: f64,
+    pub first_byte_reserve: f64,
     /// Shortest limit of a wait, whatever is usual at the targets: about what it takes until one
     /// of a full engine's places comes free.
-    pub shortest: Duration,
+    pub min_limit: Duration,
     /// Part of the latency objective within which requests are rejected while many are.
-    pub quick_share: f64,
+    pub overload_objective_share: f64,
     /// Longest wait whatever the objective.
-    pub longest: Duration,
+    pub max_limit: Duration,
     /// Longest wait of a stream that broke off: no more than callers take for a pause.
     pub resumed_limit: Duration,
     /// Longest wait of a request that is late already. It goes behind all that are not, and its
@@ -61,11 +61,11 @@
 impl Default for WaitPolicy {
     fn default() -> Self {
         Self {
-            objective_share: 0.6,
-            reading_reserve: 1.3,
-            shortest: Duration::from_millis(60),
-            quick_share: 0.125,
-            longest: Duration::from_secs(1),
+            max_objective_share: 0.6,
+            first_byte_reserve: 1.3,
+            min_limit: Duration::from_millis(60),
+            overload_objective_share: 0.125,
+            max_limit: Duration::from_secs(1),
             resumed_limit: Duration::from_millis(600),
             late_limit: Duration::from_millis(1_500),
             outage_limit: Duration::from_millis(1_500),
@@ -198,7 +198,7 @@
         };
         // Answers the load pattern of more requests than places for seconds: which of them get one
         // changes with longer waits, but not how many, and those rejected would be told later.
-        let quick = claim.objective.mul_f64(self.policy.quick_share);
+        let quick = claim.objective.mul_f64(self.policy.overload_objective_share);
         if self.is_overloaded() { limit.min(quick) } else { limit }
     }
 
@@ -209,9 +209,9 @@
 
     /// How long a request may wait that can still be in time.
     fn timely_limit(&self, objective_left: Duration, usual_first_byte: Duration) -> Duration {
-        let reading = usual_first_byte.mul_f64(self.policy.reading_reserve);
-        let left = objective_left.saturating_sub(reading).max(self.policy.shortest);
-        left.min(objective_left.mul_f64(self.policy.objective_share)).min(self.policy.longest)
+        let reading = usual_first_byte.mul_f64(self.policy.first_byte_reserve);
+        let left = objective_left.saturating_sub(reading).max(self.policy.min_limit);
+        left.min(objective_left.mul_f64(self.policy.max_objective_share)).min(self.policy.max_limit)
     }
 
     /// Counts a request that got a place, for the prediction.
--- a/tests/all/waiting.rs
+++ b/tests/all/waiting.rs
@@ -295,7 +295,7 @@
     let rejected = LoadScript { holds: false, waiting, ..outage };
     let (refused, held) = (totals(&rejected), totals(&outage));
     assert!(held.2 < refused.2 / 2.0, "refused for good: {held:?}, without holding {refused:?}");
-    let placement = PlacementPolicy { late_reading: 100.0, ..PlacementPolicy::default() };
+    let placement = PlacementPolicy { late_prefills: 100.0, ..PlacementPolicy::default() };
     let flooded = totals(&LoadScript { placement, ..outage });
     assert!(held.0 > flooded.0 + 0.01, "in time: {held:?}, all at once {flooded:?}");
 }
