--- a/crates/serving/src/target_table.rs
+++ b/crates/serving/src/target_table.rs
@@ -332,7 +332,7 @@
         if outcome == AttemptOutcome::Unreachable {
             row.note_slowness(UNREACHED, now);
         }
-        row.health.note(outcome, now)
+        row.health.record(outcome, now)
     }
 
     /// Notes that a request was sent to a target.
