--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -183,7 +183,7 @@
     let limit = if in_outage { queue.outage_limit() } else { queue.wait_limit(&claim, usual) };
     let give_up_at = (now + limit).min(call.latest);
     let waits = if in_outage {
-        queue.push_in_outage(&claim, give_up_at, request)
+        queue.push_without_prediction(&claim, give_up_at, request)
     } else {
         queue.push(&claim, give_up_at, request, now)
     };
--- a/crates/serving/src/wait_queue.rs
+++ b/crates/serving/src/wait_queue.rs
@@ -292,7 +292,11 @@
         now: Instant,
     ) -> Result<WaitTicket, T> {
         let hopeless = self.predicted_wait(claim, now).is_some_and(|wait| now + wait > give_up_at);
-        if hopeless { Err(payload) } else { self.push_in_outage(claim, give_up_at, payload) }
+        if hopeless {
+            Err(payload)
+        } else {
+            self.push_without_prediction(claim, give_up_at, payload)
+        }
     }
 
     /// Adds a request that waits for the end of an outage, of which the places given before it say
@@ -300,7 +304,7 @@
     ///
     /// # Errors
     /// Returns the payload if the queue is full.
-    pub fn push_in_outage(
+    pub fn push_without_prediction(
         &mut self,
         claim: &WaitUrgency,
         give_up_at: Instant,
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -253,7 +253,7 @@
         let claim = WaitUrgency::new(1, self.script.objective, Duration::ZERO).for_outage();
         let queue = &mut self.entries[at].queue;
         let give_up_at = now + queue.outage_limit();
-        if !self.script.holds || queue.push_in_outage(&claim, give_up_at, id).is_err() {
+        if !self.script.holds || queue.push_without_prediction(&claim, give_up_at, id).is_err() {
             self.refuse(at, id, now);
         }
     }
--- a/tests/all/waiting.rs
+++ b/tests/all/waiting.rs
@@ -265,9 +265,11 @@
     }
     let give_up_at = now + queue.outage_limit();
     for number in 0..40 {
-        queue.push_in_outage(&claim(0).for_outage(), give_up_at, number).expect("it is held");
+        queue
+            .push_without_prediction(&claim(0).for_outage(), give_up_at, number)
+            .expect("it is held");
     }
-    queue.push_in_outage(&claim(7), give_up_at, 99).expect("it is held");
+    queue.push_without_prediction(&claim(7), give_up_at, 99).expect("it is held");
     assert_eq!(queue.iter().next().map(|(_, number)| *number), Some(99));
     assert_eq!(queue.remove_expired(give_up_at).len(), 41);
 }
