--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/place.rs
@@ -3,8 +3,8 @@
 use crate::shared::GatewayShared;
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AttemptOutcome, Choice, PlacementNeed, PlacementPolicy, TargetId, TargetTable, WaitClaim,
-    WaitPolicy, WaitQueue, WaitTicket,
+    AttemptOutcome, PlacementOutcome, PlacementPolicy, PlacementQuery, TargetId, TargetTable,
+    WaitPolicy, WaitQueue, WaitTicket, WaitUrgency,
 };
 use indexmap::IndexMap;
 use std::{net::SocketAddr, rc::Rc, time::Duration};
@@ -19,7 +19,7 @@
     model: Option<ModelName>,
     tried: Vec<TargetId>,
     late: bool,
-    begin_by: Option<Instant>,
+    first_byte_deadline: Option<Instant>,
     sender: oneshot::Sender<PlaceGuard>,
 }
 
@@ -66,7 +66,8 @@
             return;
         }
         let now = Instant::now();
-        let ejected = self.shared.places.borrow_mut().targets.end(&self.target, outcome, now);
+        let ejected =
+            self.shared.places.borrow_mut().targets.finish_attempt(&self.target, outcome, now);
         if ejected {
             tracing::info!(target_id = %self.target, ?outcome, "a target was ejected");
         }
@@ -86,9 +87,9 @@
     pub(crate) service: &'a ServiceName,
     pub(crate) model: Option<&'a ModelName>,
     pub(crate) tried: &'a [TargetId],
-    pub(crate) claim: WaitClaim,
-    /// See [`PlacementNeed::begin_by`].
-    pub(crate) begin_by: Option<Instant>,
+    pub(crate) claim: WaitUrgency,
+    /// See [`PlacementQuery::first_byte_deadline`].
+    pub(crate) first_byte_deadline: Option<Instant>,
     /// When waiting makes no sense any more.
     pub(crate) latest: Instant,
 }
@@ -145,44 +146,44 @@
 ) -> Result<PlaceReply, WaitingPlace> {
     let now = Instant::now();
     let mut places = shared.places.borrow_mut();
-    let need = PlacementNeed {
+    let need = PlacementQuery {
         service: call.service,
         model: call.model,
         tried: call.tried,
         late: call.claim.is_late(),
-        begin_by: call.begin_by,
+        first_byte_deadline: call.first_byte_deadline,
     };
     let choice = places.targets.choose(&need, now);
     let nobody_waits = places.queue(call.service).is_empty();
-    let in_outage = choice == Choice::NoTarget;
+    let in_outage = choice == PlacementOutcome::NoTarget;
     match choice {
-        Choice::NoTarget if !places.targets.is_expected(call.service, now) => {
-            let after = places.queue(call.service).return_after(rand::random());
+        PlacementOutcome::NoTarget if !places.targets.expects_capacity(call.service, now) => {
+            let after = places.queue(call.service).retry_after(rand::random());
             return Ok(PlaceReply::NoTarget(after));
         }
-        Choice::Target(target) if nobody_waits => {
+        PlacementOutcome::Target(target) if nobody_waits => {
             note_placed(places.queue(call.service), call.claim.is_late(), now);
             if let Some(guard) = hold(shared, &mut places, call.service, target) {
                 return Ok(PlaceReply::Placed(guard));
             }
         }
-        Choice::Target(_) | Choice::Full | Choice::NoTarget => {}
+        PlacementOutcome::Target(_) | PlacementOutcome::Full | PlacementOutcome::NoTarget => {}
     }
-    let claim = if in_outage { call.claim.in_outage() } else { call.claim };
+    let claim = if in_outage { call.claim.for_outage() } else { call.claim };
     let (sender, receiver) = oneshot::channel();
     let request = WaitingRequest {
         model: call.model.cloned(),
         tried: call.tried.to_vec(),
         late: claim.is_late(),
-        begin_by: call.begin_by,
+        first_byte_deadline: call.first_byte_deadline,
         sender,
     };
-    let usual = places.targets.usual_first_byte(call.service, now);
+    let usual = places.targets.median_first_byte(call.service, now);
     let queue = places.queue(call.service);
     let limit = if in_outage { queue.outage_limit() } else { queue.wait_limit(&claim, usual) };
     let give_up_at = (now + limit).min(call.latest);
     let waits = if in_outage {
-        queue.hold(&claim, give_up_at, request)
+        queue.push_without_prediction(&claim, give_up_at, request)
     } else {
         queue.push(&claim, give_up_at, request, now)
     };
@@ -193,22 +194,22 @@
             Err(WaitingPlace { receiver, give_up_at, withdrawal })
         }
         Err(_) => {
-            queue.note_rejected(now);
-            let after = queue.return_after(rand::random());
+            queue.record_rejected(now);
+            let after = queue.retry_after(rand::random());
             Ok(PlaceReply::Full(after))
         }
     }
 }
 
 fn note_placed(queue: &mut WaitQueue<WaitingRequest>, is_late: bool, now: Instant) {
-    if is_late { queue.note_late_placed(now) } else { queue.note_placed(now) }
+    if is_late { queue.record_late_placed(now) } else { queue.record_placed(now) }
 }
 
 fn full(shared: &GatewayShared, service: &ServiceName) -> PlaceReply {
     let mut places = shared.places.borrow_mut();
     let queue = places.queue(service);
-    queue.note_rejected(Instant::now());
-    PlaceReply::Full(queue.return_after(rand::random()))
+    queue.record_rejected(Instant::now());
+    PlaceReply::Full(queue.retry_after(rand::random()))
 }
 
 fn hold(
@@ -218,7 +219,7 @@
     target: TargetId,
 ) -> Option<PlaceGuard> {
     let address = places.targets.address(&target)?;
-    places.targets.begin(&target, Instant::now());
+    places.targets.start_attempt(&target, Instant::now());
     let (shared, service) = (shared.clone(), service.clone());
     Some(PlaceGuard { shared, service, target, address, ended: false })
 }
@@ -262,18 +263,18 @@
 ) -> Option<(WaitTicket, TargetId)> {
     let queue = places.queues.get(service)?;
     for (ticket, request) in queue.iter() {
-        let need = PlacementNeed {
+        let need = PlacementQuery {
             service,
             model: request.model.as_ref(),
             tried: &request.tried,
             late: request.late,
-            begin_by: request.begin_by,
+            first_byte_deadline: request.first_byte_deadline,
         };
         match places.targets.choose(&need, now) {
-            Choice::Target(target) => return Some((ticket, target)),
+            PlacementOutcome::Target(target) => return Some((ticket, target)),
             // One that was refused elsewhere needs a particular target; others may still be served.
-            Choice::Full | Choice::NoTarget if !request.tried.is_empty() => {}
-            Choice::Full | Choice::NoTarget => return None,
+            PlacementOutcome::Full | PlacementOutcome::NoTarget if !request.tried.is_empty() => {}
+            PlacementOutcome::Full | PlacementOutcome::NoTarget => return None,
         }
     }
     None
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -10,7 +10,7 @@
 use egretseam_http::DaemonMetrics;
 use egretseam_proto::ServiceName;
 use egretseam_serving::{
-    ConfigHolder, EntryRecord, EntryRoster, PatienceTable, RetryBudget, RouteRecord, RouteTable,
+    ConfigHolder, EntryRecord, EntryRoster, RetryBudget, RetryDetector, RouteRecord, RouteTable,
 };
 use indexmap::IndexMap;
 use prometheus::{Histogram, IntCounter, IntGauge};
@@ -117,7 +117,7 @@
     routes_came: Notify,
     pub(crate) places: RefCell<PlaceTable>,
     pub(crate) pool: RefCell<TargetPool>,
-    pub(crate) patience: RefCell<PatienceTable>,
+    pub(crate) patience: RefCell<RetryDetector>,
     pub(crate) budgets: RefCell<IndexMap<ServiceName, RetryBudget>>,
     /// By source: the entries that a control member hears of.
     pub(crate) rosters: RefCell<IndexMap<u32, Vec<EntryRecord>>>,
@@ -143,7 +143,7 @@
             routes_came: Notify::new(),
             places: RefCell::new(places),
             pool: RefCell::default(),
-            patience: RefCell::new(PatienceTable::new(options.waiting.shortest_return)),
+            patience: RefCell::new(RetryDetector::new(options.waiting.min_retry_after)),
             budgets: RefCell::default(),
             rosters: RefCell::default(),
             roster: RefCell::default(),
@@ -211,7 +211,7 @@
             None => {}
         }
         let roster = EntryRoster::merged(rosters.values(), Instant::now());
-        self.places.borrow_mut().targets.set_sharers(roster.ready_count());
+        self.places.borrow_mut().targets.set_entry_count(roster.ready_count());
         *self.roster.borrow_mut() = roster;
     }
 
@@ -226,13 +226,13 @@
             return Duration::ZERO;
         }
         let now = Instant::now();
-        let note = |left| self.patience.borrow_mut().note(&route.name, left, now);
+        let note = |left| self.patience.borrow_mut().observe(&route.name, left, now);
         terms.time_left.map_or(Duration::ZERO, note)
     }
 
     /// Counts a caller that is asked to come back.
     pub(crate) fn note_return(&self, route: &RouteRecord) {
-        self.patience.borrow_mut().note_rejected(&route.name, Instant::now());
+        self.patience.borrow_mut().record_rejected(&route.name, Instant::now());
     }
 
     /// Takes one repeat out of a service's budget, if there is one.
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -11,7 +11,7 @@
 //!   own requests showed; [`TargetTable::choose`] places a request.
 //! - [`WaitQueue`]: where requests wait for a place, and when they are rejected instead.
 //! - [`PeerList`]: at control, the agents that exchange chunks, with numbered changes.
-//! - [`PatienceTable`]: how long a caller has been trying.
+//! - [`RetryDetector`]: how long a caller has been trying.
 //! - [`AttemptLimits`]: how long attempts and waits may take before the caller leaves.
 //! - [`RetryBudget`]: the entry's part of the repeats that a service may get.
 //! - [`EntryRoster`]: which entries callers may be sent to.
@@ -22,12 +22,12 @@
 mod config_holder;
 mod entries;
 mod health;
-mod patience;
 mod peer_list;
 mod placement;
 mod raw;
 mod registry;
 mod retry_budget;
+mod retry_detector;
 mod roster_batcher;
 mod route_table;
 mod status;
@@ -44,15 +44,15 @@
     config_holder::{ConfigApplyError, ConfigHolder, ConfigRequest},
     entries::{EntryObservation, EntryRoster},
     health::{AttemptOutcome, TargetHealth},
-    patience::PatienceTable,
     peer_list::{PeerList, PeerMap, PeerUpdate, SwarmPeer, apply_peer_updates},
-    placement::{Choice, PlacementNeed, PlacementPolicy},
+    placement::{PlacementOutcome, PlacementPolicy, PlacementQuery},
     raw::{
         ConfigError, RawDestination, RawEngine, RawLimits, RawOrganisation, RawOrigin, RawRoute,
         RawService, RawServing,
     },
     registry::{AnnounceOutcome, LeaveOutcome, TargetRegistry},
     retry_budget::{RetryBudget, RetryPolicy},
+    retry_detector::RetryDetector,
     roster_batcher::RosterBatcher,
     route_table::{AccessError, KeyHolder, RouteTable},
     status::{
@@ -61,5 +61,5 @@
     },
     switch_schedule::{OlderVersionPolicy, OlderVersionState, SwitchSchedule, SwitchTiming},
     target_table::{LoadSample, TargetTable},
-    wait_queue::{WaitClaim, WaitPolicy, WaitQueue, WaitTicket},
+    wait_queue::{WaitPolicy, WaitQueue, WaitTicket, WaitUrgency},
 };
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -2,7 +2,7 @@
 //!
 //! Answers the load pattern of several entries that fill the same targets with views that lag by
 //! hundreds of milliseconds. All of them chasing the emptiest target would flood it. A target is
-//! therefore drawn at random by the free part of its places ([`PlacementPolicy::favour`]), so that
+//! therefore drawn at random by the free part of its places ([`PlacementPolicy::free_share_exponent`]), so that
 //! what all entries send until the next sample spreads as the free places do; and what an entry
 //! does not see of the others' requests fades from the last sample to the service's mean.
 
@@ -36,37 +36,37 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementPolicy {
     /// Requests that a target may hold, as a multiple of its places.
-    pub fill: f64,
+    pub max_fill: f64,
     /// The same for requests that are late already.
-    pub late_fill: f64,
+    pub late_max_fill: f64,
     /// Prompts of requests that are late already which targets may have to read at a time, for each
     /// target; an entry keeps to its part of them.
     ///
     /// Answers the load pattern after an outage: hundreds that were held go to engines that stand
     /// empty. An engine reads all that it admits in one pass, so that of a dozen at once nobody has
     /// its first event in less than 0.4 s, new requests among them.
-    pub late_reading: f64,
+    pub late_prefills: f64,
     /// Load that a target in another availability zone is charged, in parts of its places.
-    pub zone_charge: f64,
+    pub cross_zone_penalty: f64,
     /// Power of the free part of a target's places by which it is drawn: 0 draws evenly, 1 fills
     /// all alike, more favours the emptier ones but lets entries with the same view flood them.
-    pub favour: i32,
+    pub free_share_exponent: i32,
     /// Time in which a sample of the others' load fades to the mean.
-    pub fade: Duration,
+    pub load_decay: Duration,
     /// How long an entry keeps to its part of an engine's places after a sample.
-    pub part_life: Duration,
+    pub entry_share_max_age: Duration,
     /// Load that a target is charged while others hold a newer version: it will soon switch, and
     /// what runs there is then cut off or waited for.
-    pub old_version_charge: f64,
+    pub old_version_penalty: f64,
     /// Load that a target is charged for each time that its first bytes take as long again as
     /// usual in its service: a slow process, or a link that others have filled.
-    pub slow_charge: f64,
+    pub slowness_penalty: f64,
     /// Load that a target which started a moment ago is charged.
-    pub cold_charge: f64,
+    pub cold_start_penalty: f64,
     /// Whether each entry keeps to its part of an engine's places.
-    pub shared_places: bool,
+    pub limits_entry_share: bool,
     /// Whether targets that seem to hang are left out.
-    pub skips_hanging: bool,
+    pub skips_hung: bool,
     /// Whether targets that fail often are ejected.
     pub ejects: bool,
 }
@@ -74,18 +74,18 @@
 impl Default for PlacementPolicy {
     fn default() -> Self {
         Self {
-            fill: 1.0,
-            late_fill: 0.75,
-            late_reading: 4.0,
-            zone_charge: 0.25,
-            favour: 2,
-            fade: Duration::from_millis(1_500),
-            part_life: Duration::from_millis(1_100),
-            old_version_charge: 0.1,
-            slow_charge: 0.25,
-            cold_charge: 0.3,
-            shared_places: true,
-            skips_hanging: true,
+            max_fill: 1.0,
+            late_max_fill: 0.75,
+            late_prefills: 4.0,
+            cross_zone_penalty: 0.25,
+            free_share_exponent: 2,
+            load_decay: Duration::from_millis(1_500),
+            entry_share_max_age: Duration::from_millis(1_100),
+            old_version_penalty: 0.1,
+            slowness_penalty: 0.25,
+            cold_start_penalty: 0.3,
+            limits_entry_share: true,
+            skips_hung: true,
             ejects: true,
         }
     }
@@ -93,7 +93,7 @@
 
 /// What a request needs of its target.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacementNeed<'a> {
+pub struct PlacementQuery<'a> {
     /// Service.
     pub service: &'a ServiceName,
     /// Model, where the service has engines.
@@ -104,24 +104,26 @@
     pub late: bool,
     /// When its caller leaves, if its answer has not begun: only asked for where another target had
     /// it before.
-    pub begin_by: Option<Instant>,
+    pub first_byte_deadline: Option<Instant>,
 }
 
-impl PlacementNeed<'_> {
+impl PlacementQuery<'_> {
     /// Whether a target is likely to answer before the caller leaves.
     ///
     /// Failure guarded: a request that one target did not answer goes to another whose link is
     /// narrowed, arrives there seconds later and is run for a caller that has left. What is on its
     /// way cannot be recalled, so it is not sent.
     fn is_in_time(&self, row: &TargetRow, now: Instant) -> bool {
-        let left = self.begin_by.map(|begin_by| begin_by.saturating_duration_since(now));
+        let left = self
+            .first_byte_deadline
+            .map(|first_byte_deadline| first_byte_deadline.saturating_duration_since(now));
         left.is_none_or(|left| row.begins_within(left, now))
     }
 }
 
 /// Where a request goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum PlacementOutcome {
     /// To this target.
     Target(TargetId),
     /// Nowhere now: every target that could take it is full, ejected or paused.
@@ -132,25 +134,25 @@
 
 impl TargetTable {
     /// Chooses a target. Decided on arrival; nothing waits for a tick.
-    pub fn choose(&self, need: &PlacementNeed<'_>, now: Instant) -> Choice {
-        let Some(ids) = self.services.get(need.service) else { return Choice::NoTarget };
+    pub fn choose(&self, need: &PlacementQuery<'_>, now: Instant) -> PlacementOutcome {
+        let Some(ids) = self.services.get(need.service) else { return PlacementOutcome::NoTarget };
         let sampled: Vec<(&TargetId, &TargetRow)> =
             self.sample(ids).filter_map(|id| Some((id, self.rows.get(id)?))).collect();
-        let usual = usual_first_byte(&sampled, now);
+        let usual = median_first_byte(&sampled, now);
         let able: Vec<(&TargetId, &TargetRow)> =
             sampled.into_iter().filter(|(_, row)| self.is_able(row, need, usual, now)).collect();
         if able.is_empty() {
-            return Choice::NoTarget;
+            return PlacementOutcome::NoTarget;
         }
         if need.late && self.reads_enough(&able) {
-            return Choice::Full;
+            return PlacementOutcome::Full;
         }
         let view = ServiceView::of(&able, need, now);
         let untried = able.iter().filter(|(id, _)| !need.tried.contains(*id));
         let mut weighted: Vec<(f64, &TargetId)> = Vec::new();
         for (id, row) in untried {
             let spared = view.spared || !self.policy.ejects;
-            let hangs = self.policy.skips_hanging && view.hangs(row, now);
+            let hangs = self.policy.skips_hung && view.hangs(row, now);
             if hangs
                 || view.is_behind_narrow_link(row)
                 || !need.is_in_time(row, now)
@@ -160,15 +162,15 @@
             }
             let Some(cost) = self.cost(row, need, &view, now) else { continue };
             let free = (1.0 - cost).max(LEAST_FREE);
-            weighted.push((free.powi(self.policy.favour), id));
+            weighted.push((free.powi(self.policy.free_share_exponent), id));
         }
-        draw(&weighted).map_or(Choice::Full, |id| Choice::Target(id.clone()))
+        draw(&weighted).map_or(PlacementOutcome::Full, |id| PlacementOutcome::Target(id.clone()))
     }
 
     /// Whether this entry awaits as many first bytes as are its part for requests that are late.
     fn reads_enough(&self, able: &[(&TargetId, &TargetRow)]) -> bool {
         let awaited: usize = able.iter().map(|(_, row)| row.awaited_count()).sum();
-        let part = able.len() as f64 * self.policy.late_reading * self.own_part().share;
+        let part = able.len() as f64 * self.policy.late_prefills * self.own_part().share;
         awaited as f64 >= part.max(1.0)
     }
 
@@ -180,7 +182,7 @@
     /// 1.5 s of the time in which it could have come back. Of the value of all requests of
     /// a day with such an outage of four seconds 0.787 was earned with waiting and 0.794 without (means
     /// of two and three plays of 48 s at usual load).
-    pub fn is_expected(&self, service: &ServiceName, now: Instant) -> bool {
+    pub fn expects_capacity(&self, service: &ServiceName, now: Instant) -> bool {
         if now.saturating_duration_since(self.started_at) < HEARD_ALL {
             return true;
         }
@@ -192,10 +194,10 @@
     }
 
     /// The usual time from sending a request of a service on to the first byte of its answer.
-    pub fn usual_first_byte(&self, service: &ServiceName, now: Instant) -> Duration {
+    pub fn median_first_byte(&self, service: &ServiceName, now: Instant) -> Duration {
         let Some(ids) = self.services.get(service) else { return QUICK };
         let rows = self.sample(ids).filter_map(|id| Some((id, self.rows.get(id)?)));
-        usual_first_byte(&rows.collect::<Vec<_>>(), now)
+        median_first_byte(&rows.collect::<Vec<_>>(), now)
     }
 
     fn sample<'a>(&self, ids: &'a [TargetId]) -> impl Iterator<Item = &'a TargetId> + use<'a> {
@@ -207,14 +209,14 @@
     fn is_able(
         &self,
         row: &TargetRow,
-        need: &PlacementNeed<'_>,
-        usual_first_byte: Duration,
+        need: &PlacementQuery<'_>,
+        median_first_byte: Duration,
         now: Instant,
     ) -> bool {
         if row.record.state != TargetState::Ready || row.loading || row.is_silent(now) {
             return false;
         }
-        let allowed = |model| self.begins_allowed(row, model, usual_first_byte, now);
+        let allowed = |model| self.begins_allowed(row, model, median_first_byte, now);
         need.model.is_none_or(allowed)
     }
 
@@ -222,40 +224,40 @@
     fn cost(
         &self,
         row: &TargetRow,
-        need: &PlacementNeed<'_>,
+        need: &PlacementQuery<'_>,
         view: &ServiceView,
         now: Instant,
     ) -> Option<f64> {
         let slots = f64::from(row.record.slots.max(1));
         let load = self.expected_load(row, view.mean_others, now);
-        let fill = if need.late { self.policy.late_fill } else { self.policy.fill };
+        let fill = if need.late { self.policy.late_max_fill } else { self.policy.max_fill };
         if load >= slots * fill || self.has_its_part(row, need, now) {
             return None;
         }
         let mut cost = load / slots;
         if row.record.zone != self.zone {
-            cost += self.policy.zone_charge;
+            cost += self.policy.cross_zone_penalty;
         }
         if now < row.cold_until {
-            cost += self.policy.cold_charge;
+            cost += self.policy.cold_start_penalty;
         }
         if need.model.and_then(|model| row.held_version(model)) != view.newest {
             // What was cut off once must not be cut off again.
             let times = if need.tried.is_empty() { 1.0 } else { RESUMED_CHARGE };
-            cost += self.policy.old_version_charge * times;
+            cost += self.policy.old_version_penalty * times;
         }
-        cost += self.policy.slow_charge * slowness(row, view.usual_first_byte, now);
+        cost += self.policy.slowness_penalty * slowness(row, view.median_first_byte, now);
         cost += row.health.failure_rate();
         Some(cost)
     }
 
     /// Whether this entry has its part of an engine's places, by a sample that is fresh. Plain
     /// services answer within some ten milliseconds, so that any sample of them is stale.
-    fn has_its_part(&self, row: &TargetRow, need: &PlacementNeed<'_>, now: Instant) -> bool {
-        let fresh = row
-            .load
-            .filter(|sample| now.saturating_duration_since(sample.at) < self.policy.part_life);
-        let shares = self.policy.shared_places && need.model.is_some();
+    fn has_its_part(&self, row: &TargetRow, need: &PlacementQuery<'_>, now: Instant) -> bool {
+        let fresh = row.load.filter(|sample| {
+            now.saturating_duration_since(sample.at) < self.policy.entry_share_max_age
+        });
+        let shares = self.policy.limits_entry_share && need.model.is_some();
         shares && fresh.is_some_and(|sample| row.own_in_flight >= sample.granted)
     }
 
@@ -267,7 +269,7 @@
         let Some(sample) = row.load else { return own + mean * UNKNOWN_SHARE };
         let others = f64::from(sample.busy.saturating_sub(sample.own));
         let age = now.saturating_duration_since(sample.at);
-        let faded = (age.as_secs_f64() / self.policy.fade.as_secs_f64()).min(1.0);
+        let faded = (age.as_secs_f64() / self.policy.load_decay.as_secs_f64()).min(1.0);
         own + others * (1.0 - faded) + mean * faded
     }
 }
@@ -281,7 +283,7 @@
 const MOST_SLOWNESS: f64 = 3.0;
 
 /// The time to the first byte at the middle target.
-fn usual_first_byte(able: &[(&TargetId, &TargetRow)], now: Instant) -> Duration {
+fn median_first_byte(able: &[(&TargetId, &TargetRow)], now: Instant) -> Duration {
     let mut times: Vec<Duration> = able.iter().filter_map(|(_, row)| row.first_byte(now)).collect();
     if times.is_empty() {
         return QUICK;
@@ -302,7 +304,7 @@
     /// The others' requests at a mean target.
     mean_others: f64,
     /// Time to the first byte at the middle target.
-    usual_first_byte: Duration,
+    median_first_byte: Duration,
     /// Newest version of the wanted model.
     newest: Option<u64>,
     /// Whether ejections and hangs do not count.
@@ -323,7 +325,7 @@
     /// request has been waited for in vain, 1.6 s with an objective of 0.4 s. It shows as dozens of
     /// late answers for each target. A charge would not keep them away while all are full.
     fn hangs(&self, row: &TargetRow, now: Instant) -> bool {
-        let limit = self.usual_first_byte.max(QUICK) * HANGING_TIMES;
+        let limit = self.median_first_byte.max(QUICK) * HANGING_TIMES;
         !self.spared && row.longest_awaited(now).is_some_and(|awaited| awaited > limit)
     }
 
@@ -336,11 +338,11 @@
         !self.all_narrow && !row.link_delay.is_zero()
     }
 
-    fn of(able: &[(&TargetId, &TargetRow)], need: &PlacementNeed<'_>, now: Instant) -> Self {
+    fn of(able: &[(&TargetId, &TargetRow)], need: &PlacementQuery<'_>, now: Instant) -> Self {
         let mut untried = able.iter().filter(|(id, _)| !need.tried.contains(*id));
         let mut view = Self {
             mean_others: mean_of_others(able, now),
-            usual_first_byte: usual_first_byte(able, now),
+            median_first_byte: median_first_byte(able, now),
             newest: need.model.and_then(|model| newest_version(able, model)),
             spared: false,
             all_narrow: untried.all(|(_, row)| !row.link_delay.is_zero()),
