--- a/crates/stager/src/dialect.rs
+++ b/crates/stager/src/dialect.rs
@@ -5,13 +5,13 @@
 use egretseam_proto::ModelName;
 use egretseam_serving::{HeldModel, Incarnation};
 
-/// A call to make.
+/// An HTTP request to the engine or to the origin of weights.
 #[derive(Clone, Debug)]
-pub struct EngineCall {
+pub struct EngineRequest {
     /// Method.
     pub method: &'static str,
     /// Path and query.
-    pub target: String,
+    pub path_and_query: String,
     /// `Content-Type`; empty for none.
     pub content_type: &'static str,
     /// Body.
@@ -64,29 +64,29 @@
 /// What engines and the origin speak.
 pub trait EngineDialect {
     /// Asks an engine for its state.
-    fn report(&self) -> EngineCall;
+    fn report(&self) -> EngineRequest;
     /// Reads it.
     ///
     /// # Errors
     /// Says what cannot be read.
     fn read_report(&self, body: &[u8]) -> Result<EngineReport, String>;
     /// Orders an engine to take what is staged when it accepts the order.
-    fn order(&self, order: &WeightsOrder<'_>) -> EngineCall;
+    fn order(&self, order: &WeightsOrder<'_>) -> EngineRequest;
     /// Reads how it took the order, by the status.
     fn read_order(&self, status: u16) -> OrderOutcome;
     /// Whether the engine refused an order because it has accepted one with a higher fencing token.
     fn is_fenced_off(&self, status: u16) -> bool;
     /// Stages a chunk.
-    fn put_chunk(&self, model: &ModelName, index: u32, bytes: Bytes) -> EngineCall;
+    fn put_chunk(&self, model: &ModelName, index: u32, bytes: Bytes) -> EngineRequest;
     /// Reads a staged chunk back.
-    fn get_chunk(&self, model: &ModelName, index: u32) -> EngineCall;
+    fn get_chunk(&self, model: &ModelName, index: u32) -> EngineRequest;
     /// Asks the origin for the digests of a version.
-    fn digests(&self, model: &ModelName, version: u64) -> EngineCall;
+    fn digests(&self, model: &ModelName, version: u64) -> EngineRequest;
     /// Reads them.
     ///
     /// # Errors
     /// Says what cannot be read.
     fn read_digests(&self, body: &[u8]) -> Result<WeightDigests, String>;
     /// Asks the origin for a chunk.
-    fn origin_chunk(&self, model: &ModelName, version: u64, index: u32) -> EngineCall;
+    fn origin_chunk(&self, model: &ModelName, version: u64, index: u32) -> EngineRequest;
 }
--- a/crates/stager/src/lib.rs
+++ b/crates/stager/src/lib.rs
@@ -34,7 +34,7 @@
 mod work;
 
 pub use crate::{
-    dialect::{EngineCall, EngineDialect, EngineReport, OrderOutcome, WeightsOrder},
+    dialect::{EngineDialect, EngineReport, EngineRequest, OrderOutcome, WeightsOrder},
     digest_search::OriginTurns,
     digests::WeightDigests,
     options::{StagerListeners, StagerOptions},
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     chunks::ChunkStore,
-    dialect::{EngineCall, EngineDialect, EngineReport},
+    dialect::{EngineDialect, EngineReport, EngineRequest},
     downloads::PartDownloads,
     older::OlderVersion,
     options::StagerOptions,
@@ -195,12 +195,18 @@
     }
 
     /// Calls the engine.
-    pub(crate) async fn call_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn call_engine(
+        &self,
+        call: &EngineRequest,
+    ) -> Result<CallReply, ExchangeError> {
         self.lock_engine().await.call(call).await
     }
 
     /// Gives the engine an order.
-    pub(crate) async fn order_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn order_engine(
+        &self,
+        call: &EngineRequest,
+    ) -> Result<CallReply, ExchangeError> {
         self.engine.lock().await.call(&request(call, ORDER_LIMIT)).await
     }
 
@@ -210,7 +216,10 @@
     }
 
     /// Calls the engine on the connection kept for watching it, which staging does not delay.
-    pub(crate) async fn watch_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn watch_engine(
+        &self,
+        call: &EngineRequest,
+    ) -> Result<CallReply, ExchangeError> {
         self.watcher.lock().await.call(&request(call, ENGINE_CALL_LIMIT)).await
     }
 
@@ -270,14 +279,14 @@
 
 impl EngineConnection<'_> {
     /// Calls the engine.
-    pub(crate) async fn call(&mut self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn call(&mut self, call: &EngineRequest) -> Result<CallReply, ExchangeError> {
         self.client.call(&request(call, ENGINE_CALL_LIMIT)).await
     }
 
     /// Gives an order to the run of the engine that answered the call before.
     pub(crate) async fn order_kept(
         &mut self,
-        call: &EngineCall,
+        call: &EngineRequest,
     ) -> Result<CallReply, ExchangeError> {
         self.client.call_kept(&request(call, ORDER_LIMIT)).await
     }
@@ -305,10 +314,10 @@
 }
 
 /// A call as the HTTP client takes it.
-pub(crate) fn request(call: &EngineCall, limit: Duration) -> CallRequest<'_> {
+pub(crate) fn request(call: &EngineRequest, limit: Duration) -> CallRequest<'_> {
     CallRequest {
         method: call.method,
-        target: &call.target,
+        target: &call.path_and_query,
         content_type: call.content_type,
         body: &call.body,
         limit,
