--- a/crates/stager/src/dialect.rs
+++ b/crates/stager/src/dialect.rs
@@ -64,29 +64,29 @@
 /// What engines and the origin speak.
 pub trait EngineDialect {
     /// Asks an engine for its state.
-    fn report(&self) -> EngineRequest;
+    fn report_request(&self) -> EngineRequest;
     /// Reads it.
     ///
     /// # Errors
     /// Says what cannot be read.
-    fn read_report(&self, body: &[u8]) -> Result<EngineReport, String>;
+    fn parse_report(&self, body: &[u8]) -> Result<EngineReport, String>;
     /// Orders an engine to take what is staged when it accepts the order.
-    fn order(&self, order: &WeightsOrder<'_>) -> EngineRequest;
+    fn order_request(&self, order: &WeightsOrder<'_>) -> EngineRequest;
     /// Reads how it took the order, by the status.
-    fn read_order(&self, status: u16) -> OrderOutcome;
+    fn order_outcome(&self, status: u16) -> OrderOutcome;
     /// Whether the engine refused an order because it has accepted one with a higher fencing token.
-    fn is_fenced_off(&self, status: u16) -> bool;
+    fn is_fencing_rejection(&self, status: u16) -> bool;
     /// Stages a chunk.
-    fn put_chunk(&self, model: &ModelName, index: u32, bytes: Bytes) -> EngineRequest;
+    fn put_chunk_request(&self, model: &ModelName, index: u32, bytes: Bytes) -> EngineRequest;
     /// Reads a staged chunk back.
-    fn get_chunk(&self, model: &ModelName, index: u32) -> EngineRequest;
+    fn get_chunk_request(&self, model: &ModelName, index: u32) -> EngineRequest;
     /// Asks the origin for the digests of a version.
-    fn digests(&self, model: &ModelName, version: u64) -> EngineRequest;
+    fn digests_request(&self, model: &ModelName, version: u64) -> EngineRequest;
     /// Reads them.
     ///
     /// # Errors
     /// Says what cannot be read.
-    fn read_digests(&self, body: &[u8]) -> Result<WeightDigests, String>;
+    fn parse_digests(&self, body: &[u8]) -> Result<WeightDigests, String>;
     /// Asks the origin for a chunk.
-    fn origin_chunk(&self, model: &ModelName, version: u64, index: u32) -> EngineRequest;
+    fn origin_chunk_request(&self, model: &ModelName, version: u64, index: u32) -> EngineRequest;
 }
--- a/crates/stager/src/digest_search.rs
+++ b/crates/stager/src/digest_search.rs
@@ -156,14 +156,14 @@
     plan: &HeldPlan,
     key: &WeightsKey,
 ) -> Result<WeightDigests, String> {
-    let call = shared.dialect.digests(&key.model, key.version);
+    let call = shared.dialect.digests_request(&key.model, key.version);
     let mut origin = origin_client(plan.plan.origin);
     let reply = origin.call(&request(&call, ORIGIN_LIMIT)).await;
     let reply = reply.map_err(|error| error.to_string())?;
     if reply.status != 200 {
         return Err(format!("status {}", reply.status));
     }
-    let digests = shared.dialect.read_digests(&reply.body)?;
+    let digests = shared.dialect.parse_digests(&reply.body)?;
     if digests.model != key.model || digests.version != key.version || digests.count() == 0 {
         return Err("the origin answers with another version".to_owned());
     }
--- a/crates/stager/src/engine.rs
+++ b/crates/stager/src/engine.rs
@@ -31,9 +31,9 @@
 /// Looks once; returns whether the engine answered.
 pub(crate) async fn look(shared: &StagerShared) -> bool {
     let asked_at = Instant::now();
-    let call = shared.dialect.report();
+    let call = shared.dialect.report_request();
     let report = match shared.watch_engine(&call).await {
-        Ok(reply) if reply.status == 200 => shared.dialect.read_report(&reply.body),
+        Ok(reply) if reply.status == 200 => shared.dialect.parse_report(&reply.body),
         Ok(reply) => Err(format!("status {}", reply.status)),
         Err(error) => Err(error.to_string()),
     };
--- a/crates/stager/src/fencing.rs
+++ b/crates/stager/src/fencing.rs
@@ -83,8 +83,8 @@
 /// agent that it has begun meanwhile is told by its count.
 async fn order_held(shared: &StagerShared, model: &ModelName, fence: u64) -> FenceReply {
     let mut engine = shared.lock_engine().await;
-    let report = match engine.call(&shared.dialect.report()).await {
-        Ok(reply) if reply.status == 200 => shared.dialect.read_report(&reply.body),
+    let report = match engine.call(&shared.dialect.report_request()).await {
+        Ok(reply) if reply.status == 200 => shared.dialect.parse_report(&reply.body),
         Ok(reply) => Err(format!("status {}", reply.status)),
         Err(error) => Err(error.to_string()),
     };
@@ -102,9 +102,9 @@
     let begun_before = report.orders_begun;
     let order = WeightsOrder { model, version, cut: false, begun_before, fence };
     shared.metrics.orders.inc();
-    match engine.order_kept(&shared.dialect.order(&order)).await {
-        Ok(reply) if shared.dialect.is_fenced_off(reply.status) => FenceReply::FencedOff,
-        Ok(reply) if shared.dialect.read_order(reply.status) == OrderOutcome::Accepted => {
+    match engine.order_kept(&shared.dialect.order_request(&order)).await {
+        Ok(reply) if shared.dialect.is_fencing_rejection(reply.status) => FenceReply::FencedOff,
+        Ok(reply) if shared.dialect.order_outcome(reply.status) == OrderOutcome::Accepted => {
             FenceReply::Passed
         }
         Ok(reply) => {
--- a/crates/stager/src/staging.rs
+++ b/crates/stager/src/staging.rs
@@ -81,14 +81,14 @@
     key: &WeightsKey,
     index: u32,
 ) -> Result<Option<Bytes>, ExchangeError> {
-    let call = shared.dialect.get_chunk(&key.model, index);
+    let call = shared.dialect.get_chunk_request(&key.model, index);
     let reply = shared.call_engine(&call).await?;
     Ok((reply.status == 200).then_some(reply.body))
 }
 
 /// Stages a chunk; returns whether the engine took it.
 async fn put(shared: &StagerShared, key: &WeightsKey, index: u32, bytes: Bytes) -> bool {
-    let call = shared.dialect.put_chunk(&key.model, index, bytes);
+    let call = shared.dialect.put_chunk_request(&key.model, index, bytes);
     match shared.call_engine(&call).await {
         Ok(reply) if reply.status < 300 => true,
         Ok(reply) => {
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -165,12 +165,12 @@
 
 async fn send(shared: &StagerShared, order: &WeightsOrder<'_>) -> OrderOutcome {
     shared.metrics.orders.inc();
-    let outcome = match shared.order_engine(&shared.dialect.order(order)).await {
+    let outcome = match shared.order_engine(&shared.dialect.order_request(order)).await {
         Ok(reply) => {
-            if shared.dialect.is_fenced_off(reply.status) {
+            if shared.dialect.is_fencing_rejection(reply.status) {
                 shared.fence.borrow_mut().note_fenced_off();
             }
-            shared.dialect.read_order(reply.status)
+            shared.dialect.order_outcome(reply.status)
         }
         Err(error) if error.may_have_run() => {
             tracing::info!(%error, "the order's outcome is not known");
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -258,7 +258,8 @@
     }
 
     async fn fetch_origin(&self, chunk: u32) -> Result<Bytes, FetchFailure> {
-        let call = self.shared.dialect.origin_chunk(&self.key.model, self.key.version, chunk);
+        let call =
+            self.shared.dialect.origin_chunk_request(&self.key.model, self.key.version, chunk);
         let answer = self.origin.lock().await.call(&request(&call, CHUNK_LIMIT)).await;
         self.note_origin(answer.is_ok());
         match answer {
--- a/tests/all/fleet/late_orders.rs
+++ b/tests/all/fleet/late_orders.rs
@@ -204,7 +204,7 @@
 /// count as one.
 #[test]
 fn only_a_stated_refusal_of_an_order_counts_as_one() {
-    let read = |status| PlatformEngine.read_order(status);
+    let read = |status| PlatformEngine.order_outcome(status);
     for status in [200, 202] {
         assert_eq!(read(status), OrderOutcome::Accepted, "{status}");
     }
--- a/tests/all/fleet/reports.rs
+++ b/tests/all/fleet/reports.rs
@@ -127,9 +127,9 @@
         "{".to_owned(),
     ];
     for state in states {
-        assert!(PlatformEngine.read_report(state.as_bytes()).is_err(), "{state}");
+        assert!(PlatformEngine.parse_report(state.as_bytes()).is_err(), "{state}");
     }
-    assert!(PlatformEngine.read_report(b"\xff").is_err());
+    assert!(PlatformEngine.parse_report(b"\xff").is_err());
     let lists = [
         json!({"model": "m", "version": 2, "digests": ["00"]}).to_string(),
         json!({"model": "m", "version": 2, "digests": ["zz".repeat(32)]}).to_string(),
@@ -140,6 +140,6 @@
         deep,
     ];
     for list in lists {
-        assert!(PlatformEngine.read_digests(list.as_bytes()).is_err(), "{list}");
+        assert!(PlatformEngine.parse_digests(list.as_bytes()).is_err(), "{list}");
     }
 }
