--- a/crates/stager/src/dialect.rs
+++ b/crates/stager/src/dialect.rs
@@ -30,24 +30,24 @@
     /// Orders that this run of the engine has begun; 0 from one that does not count them.
     pub orders_begun: u64,
     /// Requests that run.
-    pub running: u32,
+    pub running_requests: u32,
     /// Requests that wait.
-    pub waiting: u32,
+    pub queued_requests: u32,
 }
 
 /// An order to take what is staged.
 #[derive(Clone, Copy, Debug)]
-pub struct WeightsOrder<'a> {
+pub struct LoadOrder<'a> {
     /// Model that is staged.
     pub model: &'a ModelName,
     /// Version that is staged.
     pub version: u64,
     /// Whether running requests are cut off; otherwise they end first.
-    pub cut: bool,
+    pub preempt: bool,
     /// Orders that the engine must have begun before this one; with any other count it refuses.
-    pub begun_before: u64,
+    pub expected_orders_begun: u64,
     /// Fencing token: an engine refuses the order if it has accepted one with a higher token.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 /// How an engine took an order.
@@ -56,7 +56,7 @@
     /// It has begun, or is in effect already.
     Accepted,
     /// It does not fit the engine's state, or never reached it.
-    Refused,
+    Rejected,
     /// Nothing came back that says; the engine may have begun it, or may begin it later.
     Unknown,
 }
@@ -71,7 +71,7 @@
     /// Says what cannot be read.
     fn parse_report(&self, body: &[u8]) -> Result<EngineReport, String>;
     /// Orders an engine to take what is staged when it accepts the order.
-    fn order_request(&self, order: &WeightsOrder<'_>) -> EngineRequest;
+    fn order_request(&self, order: &LoadOrder<'_>) -> EngineRequest;
     /// Reads how it took the order, by the status.
     fn order_outcome(&self, status: u16) -> OrderOutcome;
     /// Whether the engine refused an order because it has accepted one with a higher fencing token.
--- a/crates/stager/src/fencing.rs
+++ b/crates/stager/src/fencing.rs
@@ -4,7 +4,7 @@
 //! token counts. Engines that hold nothing cannot be fenced so.
 
 use crate::{
-    dialect::{EngineReport, OrderOutcome, WeightsOrder},
+    dialect::{EngineReport, LoadOrder, OrderOutcome},
     shared::StagerShared,
     switch::ORDER_PAUSE,
 };
@@ -81,7 +81,7 @@
 /// takes whatever is staged for the version named. It shows as answers from mixed weights. Report
 /// and order go over one connection, which ends with the engine's run, and an order of another
 /// agent that it has begun meanwhile is told by its count.
-async fn order_held(shared: &StagerShared, model: &ModelName, fence: u64) -> FenceReply {
+async fn order_held(shared: &StagerShared, model: &ModelName, fencing_token: u64) -> FenceReply {
     let mut engine = shared.lock_engine().await;
     let report = match engine.call(&shared.dialect.report_request()).await {
         Ok(reply) if reply.status == 200 => shared.dialect.parse_report(&reply.body),
@@ -99,8 +99,8 @@
         return FenceReply::Unclear;
     }
     let Some(version) = held_version(&report, model) else { return FenceReply::HoldsNothing };
-    let begun_before = report.orders_begun;
-    let order = WeightsOrder { model, version, cut: false, begun_before, fence };
+    let expected_orders_begun = report.orders_begun;
+    let order = LoadOrder { model, version, preempt: false, expected_orders_begun, fencing_token };
     shared.metrics.orders.inc();
     match engine.order_kept(&shared.dialect.order_request(&order)).await {
         Ok(reply) if shared.dialect.is_fencing_rejection(reply.status) => FenceReply::FencedOff,
@@ -108,11 +108,15 @@
             FenceReply::Passed
         }
         Ok(reply) => {
-            tracing::info!(status = reply.status, fence, "the engine's fence was not raised");
+            tracing::info!(
+                status = reply.status,
+                fence = fencing_token,
+                "the engine's fence was not raised"
+            );
             FenceReply::Unclear
         }
         Err(error) => {
-            tracing::info!(%error, fence, "the engine's fence may not be raised");
+            tracing::info!(%error, fence = fencing_token, "the engine's fence may not be raised");
             FenceReply::Unclear
         }
     }
--- a/crates/stager/src/lib.rs
+++ b/crates/stager/src/lib.rs
@@ -34,7 +34,7 @@
 mod work;
 
 pub use crate::{
-    dialect::{EngineDialect, EngineReport, EngineRequest, OrderOutcome, WeightsOrder},
+    dialect::{EngineDialect, EngineReport, EngineRequest, LoadOrder, OrderOutcome},
     digest_search::OriginTurns,
     digests::WeightDigests,
     options::{StagerListeners, StagerOptions},
--- a/crates/stager/src/loads.rs
+++ b/crates/stager/src/loads.rs
@@ -42,6 +42,7 @@
     let member = shared.member.get()?;
     let report = shared.report.borrow();
     let report = report.as_ref()?;
-    let busy = report.running.saturating_add(report.waiting).min(u32::from(u16::MAX));
+    let busy =
+        report.running_requests.saturating_add(report.queued_requests).min(u32::from(u16::MAX));
     Some((member, busy as u16))
 }
--- a/crates/stager/src/order_ledger.rs
+++ b/crates/stager/src/order_ledger.rs
@@ -55,7 +55,7 @@
         match outcome {
             OrderOutcome::Accepted => self.open = None,
             OrderOutcome::Unknown => {}
-            OrderOutcome::Refused => {
+            OrderOutcome::Rejected => {
                 self.open.take_if(|open| {
                     open.unanswered = open.unanswered.saturating_sub(1);
                     open.unanswered == 0
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -3,7 +3,7 @@
 use crate::{
     chunks::HeldWeights,
     contents,
-    dialect::{OrderOutcome, WeightsOrder},
+    dialect::{LoadOrder, OrderOutcome},
     engine, fencing, former_orders,
     order_ledger::WholeWeights,
     shared::StagerShared,
@@ -133,8 +133,11 @@
     let until = until.min(Instant::now() + DRAIN_LIMIT);
     while Instant::now() < until {
         engine::look(shared).await;
-        let at_work =
-            shared.report.borrow().as_ref().map_or(0, |report| report.running + report.waiting);
+        let at_work = shared
+            .report
+            .borrow()
+            .as_ref()
+            .map_or(0, |report| report.running_requests + report.queued_requests);
         if at_work == 0 {
             return;
         }
@@ -147,23 +150,24 @@
         return false;
     }
     let begun = shared.report.borrow().as_ref().map_or(0, |report| report.orders_begun);
-    let begun_before = shared.orders.borrow_mut().note_sent(weights, begun);
+    let expected_orders_begun = shared.orders.borrow_mut().note_sent(weights, begun);
     let WeightsKey { model, version } = &weights.key;
-    let fence = shared.fence.borrow_mut().next_token();
-    let order = WeightsOrder { model, version: *version, cut, begun_before, fence };
+    let fencing_token = shared.fence.borrow_mut().next_token();
+    let order =
+        LoadOrder { model, version: *version, preempt: cut, expected_orders_begun, fencing_token };
     let outcome = send(shared, &order).await;
     shared.orders.borrow_mut().note_outcome(outcome);
     tracing::info!(
         %model,
         version,
-        begun_before,
+        begun_before = expected_orders_begun,
         ?outcome,
         "ordered the engine to take weights"
     );
     await_version(shared, &weights.key, outcome).await
 }
 
-async fn send(shared: &StagerShared, order: &WeightsOrder<'_>) -> OrderOutcome {
+async fn send(shared: &StagerShared, order: &LoadOrder<'_>) -> OrderOutcome {
     shared.metrics.orders.inc();
     let outcome = match shared.order_engine(&shared.dialect.order_request(order)).await {
         Ok(reply) => {
@@ -178,12 +182,12 @@
         }
         Err(error) => {
             tracing::info!(%error, "the order could not be sent");
-            OrderOutcome::Refused
+            OrderOutcome::Rejected
         }
     };
     match outcome {
         OrderOutcome::Accepted => shared.fence.borrow_mut().note_accepted(),
-        OrderOutcome::Refused => shared.metrics.orders_refused.inc(),
+        OrderOutcome::Rejected => shared.metrics.orders_refused.inc(),
         OrderOutcome::Unknown => shared.metrics.orders_unknown.inc(),
     }
     outcome
--- a/tests/all/fleet/late_orders.rs
+++ b/tests/all/fleet/late_orders.rs
@@ -209,7 +209,7 @@
         assert_eq!(read(status), OrderOutcome::Accepted, "{status}");
     }
     for status in [400, 409, 412, 421] {
-        assert_eq!(read(status), OrderOutcome::Refused, "{status}");
+        assert_eq!(read(status), OrderOutcome::Rejected, "{status}");
     }
     for status in [307, 500, 502, 503, 504] {
         assert_eq!(read(status), OrderOutcome::Unknown, "{status}");
--- a/tests/all/order_ledger.rs
+++ b/tests/all/order_ledger.rs
@@ -113,7 +113,7 @@
 
     fn carry_out(&mut self, copy: SentCopy) -> OrderOutcome {
         if copy.begun_before != self.begun {
-            return OrderOutcome::Refused;
+            return OrderOutcome::Rejected;
         }
         assert_eq!(copy.version, self.staged, "begun on another version's chunks");
         self.begun += 1;
