--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -1,6 +1,6 @@
 //! Chunks at hand, and giving them to other agents.
 
-use crate::{digests::WeightDigests, order_ledger::WholeWeights, shared::StagerShared};
+use crate::{digests::WeightDigests, order_tracker::CompleteWeights, shared::StagerShared};
 use bytes::Bytes;
 use egretseam_proto::ModelName;
 use egretseam_rpc::{
@@ -80,9 +80,9 @@
     }
 
     /// All chunks, if they are here.
-    pub(crate) fn whole(&self) -> Option<WholeWeights> {
+    pub(crate) fn whole(&self) -> Option<CompleteWeights> {
         let chunks = self.chunks.iter().cloned().collect::<Option<Vec<Bytes>>>()?;
-        Some(WholeWeights { key: self.key.clone(), digests: self.digests.clone(), chunks })
+        Some(CompleteWeights { key: self.key.clone(), digests: self.digests.clone(), chunks })
     }
 
     pub(crate) fn chunk(&self, index: u32) -> Option<Bytes> {
--- a/crates/stager/src/former_orders.rs
+++ b/crates/stager/src/former_orders.rs
@@ -8,7 +8,7 @@
     contents, digest_search,
     digests::{WeightDigests, chunk_digest},
     engine, fencing,
-    order_ledger::WholeWeights,
+    order_tracker::CompleteWeights,
     shared::StagerShared,
     staging,
 };
@@ -57,7 +57,7 @@
     };
     if let Some(weights) = open {
         tracing::info!(version = weights.key.version, "an earlier agent's order may be open");
-        shared.orders.borrow_mut().note_sent(&Rc::new(weights), begun);
+        shared.orders.borrow_mut().record_sent(&Rc::new(weights), begun);
     }
     shared.knows_orders.set(true);
     true
@@ -70,7 +70,7 @@
     wanted: &WeightsKey,
     chunks: Vec<Bytes>,
     until: Instant,
-) -> Option<WholeWeights> {
+) -> Option<CompleteWeights> {
     let staged = StagedChunks::new(shared, wanted, &chunks);
     let verdict = tokio::select! {
         verdict = staged.ask_peers(shared) => verdict,
@@ -83,7 +83,7 @@
     };
     match verdict {
         StagedVerdict::MayBeOpen(digests) => {
-            Some(WholeWeights { key: digests.key(), digests, chunks })
+            Some(CompleteWeights { key: digests.key(), digests, chunks })
         }
         StagedVerdict::NoneOpen => None,
     }
--- a/crates/stager/src/lib.rs
+++ b/crates/stager/src/lib.rs
@@ -22,7 +22,7 @@
 mod older;
 mod options;
 mod order_fence;
-mod order_ledger;
+mod order_tracker;
 mod probe;
 mod ranks;
 mod runtime;
@@ -39,6 +39,6 @@
     digests::WeightDigests,
     options::{StagerListeners, StagerOptions},
     order_fence::OrderFence,
-    order_ledger::{OrderLedger, WholeWeights},
+    order_tracker::{CompleteWeights, OrderTracker},
     runtime::{StagerRuntime, StartError},
 };
--- a/crates/stager/src/order_ledger.rs
+++ b/crates/stager/src/order_tracker.rs
@@ -12,7 +12,7 @@
 
 /// Verified chunks of a whole version.
 #[derive(Clone, Debug)]
-pub struct WholeWeights {
+pub struct CompleteWeights {
     /// Model and version.
     pub key: WeightsKey,
     /// What the chunks must be.
@@ -23,7 +23,7 @@
 
 #[derive(Debug)]
 struct OpenOrder {
-    weights: Rc<WholeWeights>,
+    weights: Rc<CompleteWeights>,
     /// Orders that the engine had begun when the first copy was sent.
     begun_before: u64,
     /// Copies that may still reach the engine.
@@ -32,15 +32,15 @@
 
 /// Keeps the open order to one engine, if there is one.
 #[derive(Debug, Default)]
-pub struct OrderLedger {
+pub struct OrderTracker {
     open: Option<OpenOrder>,
 }
 
-impl OrderLedger {
+impl OrderTracker {
     /// Notes an order, or a further copy of the open one, before it is sent to an engine that has
     /// begun `begun` orders. Returns the count that the copy is to name. An open order for other
     /// weights must have been settled first.
-    pub fn note_sent(&mut self, weights: &Rc<WholeWeights>, begun: u64) -> u64 {
+    pub fn record_sent(&mut self, weights: &Rc<CompleteWeights>, begun: u64) -> u64 {
         let open = self.open.take().filter(|open| open.weights.key == weights.key);
         let (begun_before, unanswered) =
             open.map_or((begun, 0), |open| (open.begun_before, open.unanswered));
@@ -51,7 +51,7 @@
 
     /// Notes how the engine took the copy sent last. A copy that nobody waits for any more stays
     /// unanswered.
-    pub fn note_outcome(&mut self, outcome: OrderOutcome) {
+    pub fn record_outcome(&mut self, outcome: OrderOutcome) {
         match outcome {
             OrderOutcome::Accepted => self.open = None,
             OrderOutcome::Unknown => {}
@@ -67,17 +67,17 @@
     /// Notes how many orders the engine has begun: with any other count than the one that its
     /// copies name, the open order cannot begin any more. An engine that starts again counts anew,
     /// and orders to its former run ended with their connections.
-    pub fn note_begun(&mut self, begun: u64) {
+    pub fn apply_orders_begun(&mut self, begun: u64) {
         self.open.take_if(|open| open.begun_before != begun);
     }
 
     /// What the open order would have the engine take.
-    pub fn open(&self) -> Option<Rc<WholeWeights>> {
+    pub fn outstanding(&self) -> Option<Rc<CompleteWeights>> {
         self.open.as_ref().map(|open| open.weights.clone())
     }
 
     /// The same, if that is anything but `key`.
-    pub fn open_for_other(&self, key: &WeightsKey) -> Option<Rc<WholeWeights>> {
-        self.open().filter(|weights| weights.key != *key)
+    pub fn outstanding_for_other(&self, key: &WeightsKey) -> Option<Rc<CompleteWeights>> {
+        self.outstanding().filter(|weights| weights.key != *key)
     }
 }
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -7,7 +7,7 @@
     older::OlderVersion,
     options::StagerOptions,
     order_fence::OrderFence,
-    order_ledger::OrderLedger,
+    order_tracker::OrderTracker,
     uploads::PartUploads,
 };
 use egretseam_h1::{CallReply, CallRequest, ExchangeError, KeptClient};
@@ -128,7 +128,7 @@
     /// Held while the engine is brought to a version, so that orders do not overlap.
     pub(crate) switching: Mutex<()>,
     /// Outlives whoever gave the order: a newer version may interrupt that.
-    pub(crate) orders: RefCell<OrderLedger>,
+    pub(crate) orders: RefCell<OrderTracker>,
     /// Tokens of this agent's orders.
     pub(crate) fence: RefCell<OrderFence>,
     /// The last version whose content control has noted at this agent's word.
--- a/crates/stager/src/staging.rs
+++ b/crates/stager/src/staging.rs
@@ -1,7 +1,8 @@
 //! Chunks as they lie at the engine: read, put, and made what they must be.
 
 use crate::{
-    digests::WeightDigests, order_ledger::WholeWeights, shared::StagerShared, switch::ORDER_PAUSE,
+    digests::WeightDigests, order_tracker::CompleteWeights, shared::StagerShared,
+    switch::ORDER_PAUSE,
 };
 use bytes::Bytes;
 use egretseam_h1::ExchangeError;
@@ -15,7 +16,7 @@
 /// Failure guarded: staged bytes can turn bad at any time, also right after they were staged, and
 /// the engine takes them unchecked. It would show as answers from spoilt weights. Every chunk is
 /// read back and compared right before the order, until one pass over all finds nothing to mend.
-pub(crate) async fn stage(shared: &StagerShared, weights: &WholeWeights) -> bool {
+pub(crate) async fn stage(shared: &StagerShared, weights: &CompleteWeights) -> bool {
     for _ in 0..MOST_PASSES {
         match mend_staged(shared, weights).await {
             Some(0) => return true,
@@ -29,7 +30,7 @@
 
 /// Puts every chunk that is not staged as it must be; returns how many, or `None` if one could not
 /// be put.
-async fn mend_staged(shared: &StagerShared, weights: &WholeWeights) -> Option<u32> {
+async fn mend_staged(shared: &StagerShared, weights: &CompleteWeights) -> Option<u32> {
     let mut mended = 0;
     for (index, chunk) in (0..).zip(&weights.chunks) {
         let staged = read_back(shared, &weights.key, index).await;
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -5,7 +5,7 @@
     contents,
     dialect::{LoadOrder, OrderOutcome},
     engine, fencing, former_orders,
-    order_ledger::WholeWeights,
+    order_tracker::CompleteWeights,
     shared::StagerShared,
     staging::stage,
 };
@@ -73,12 +73,17 @@
 /// until the engine has answered a copy or begun one; then it refuses all other copies.
 async fn settle(shared: &StagerShared, key: &WeightsKey, cut: bool, drain_until: Instant) -> bool {
     engine::look(shared).await;
-    let Some(open) = shared.orders.borrow().open_for_other(key) else { return true };
+    let Some(open) = shared.orders.borrow().outstanding_for_other(key) else { return true };
     resend(shared, &open, cut, drain_until).await;
-    shared.orders.borrow().open_for_other(key).is_none()
+    shared.orders.borrow().outstanding_for_other(key).is_none()
 }
 
-async fn resend(shared: &StagerShared, open: &Rc<WholeWeights>, cut: bool, drain_until: Instant) {
+async fn resend(
+    shared: &StagerShared,
+    open: &Rc<CompleteWeights>,
+    cut: bool,
+    drain_until: Instant,
+) {
     tracing::info!(version = open.key.version, "an open order is resent");
     stage_and_order(shared, open, cut, drain_until).await;
 }
@@ -93,7 +98,7 @@
     loop {
         tokio::time::sleep(LOOK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
-        if shared.orders.borrow().open().is_none() {
+        if shared.orders.borrow().outstanding().is_none() {
             continue;
         }
         // Whoever has just given it waits for its outcome with this lock held.
@@ -101,7 +106,7 @@
         if !engine::look(&shared).await {
             continue;
         }
-        let open = shared.orders.borrow().open();
+        let open = shared.orders.borrow().outstanding();
         if let Some(open) = open {
             let cut = shared.plan.borrow().as_ref().is_some_and(|held| held.plan.may_cut);
             resend(&shared, &open, cut, Instant::now() + DRAIN_LIMIT).await;
@@ -111,7 +116,7 @@
 
 async fn stage_and_order(
     shared: &StagerShared,
-    weights: &Rc<WholeWeights>,
+    weights: &Rc<CompleteWeights>,
     cut: bool,
     drain_until: Instant,
 ) -> bool {
@@ -145,18 +150,18 @@
     }
 }
 
-async fn order(shared: &StagerShared, weights: &Rc<WholeWeights>, cut: bool) -> bool {
+async fn order(shared: &StagerShared, weights: &Rc<CompleteWeights>, cut: bool) -> bool {
     if !engine::look(shared).await {
         return false;
     }
     let begun = shared.report.borrow().as_ref().map_or(0, |report| report.orders_begun);
-    let expected_orders_begun = shared.orders.borrow_mut().note_sent(weights, begun);
+    let expected_orders_begun = shared.orders.borrow_mut().record_sent(weights, begun);
     let WeightsKey { model, version } = &weights.key;
     let fencing_token = shared.fence.borrow_mut().next_token();
     let order =
         LoadOrder { model, version: *version, preempt: cut, expected_orders_begun, fencing_token };
     let outcome = send(shared, &order).await;
-    shared.orders.borrow_mut().note_outcome(outcome);
+    shared.orders.borrow_mut().record_outcome(outcome);
     tracing::info!(
         %model,
         version,
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -16,7 +16,7 @@
 mod keyed_requests;
 mod narrow_links;
 mod order_fence;
-mod order_ledger;
+mod order_tracker;
 mod path_probe;
 mod peer_lists;
 mod plan_following;
--- a/tests/all/order_ledger.rs
+++ b/tests/all/order_tracker.rs
@@ -2,18 +2,18 @@
 
 use egretseam_proto::ModelName;
 use egretseam_rpc::WeightsKey;
-use egretseam_stager::{OrderLedger, OrderOutcome, WeightDigests, WholeWeights};
+use egretseam_stager::{CompleteWeights, OrderOutcome, OrderTracker, WeightDigests};
 use proptest::{
     prelude::*,
     test_runner::{Config, RngSeed},
 };
 use std::rc::Rc;
 
-fn weights(version: u64) -> Rc<WholeWeights> {
+fn weights(version: u64) -> Rc<CompleteWeights> {
     let model = ModelName::try_from("chat").expect("a valid name");
     let digests = WeightDigests { model: model.clone(), version, chunks: Vec::new() };
     let key = WeightsKey { model, version };
-    Rc::new(WholeWeights { key, digests: Rc::new(digests), chunks: Vec::new() })
+    Rc::new(CompleteWeights { key, digests: Rc::new(digests), chunks: Vec::new() })
 }
 
 /// A copy of an order on its way to the engine.
@@ -54,7 +54,7 @@
 /// An agent and its engine.
 #[derive(Default)]
 struct OrderModel {
-    ledger: OrderLedger,
+    ledger: OrderTracker,
     wanted: u64,
     staged: u64,
     begun: u64,
@@ -73,7 +73,7 @@
                 self.waits = false;
                 if let Some(copy) = self.on_the_way.pop() {
                     let outcome = self.carry_out(copy);
-                    self.ledger.note_outcome(outcome);
+                    self.ledger.record_outcome(outcome);
                 }
             }
             Step::Answer => {}
@@ -92,13 +92,13 @@
 
     fn order(&mut self) {
         if self.waits {
-            self.ledger.note_outcome(OrderOutcome::Unknown);
+            self.ledger.record_outcome(OrderOutcome::Unknown);
         }
-        self.ledger.note_begun(self.begun);
+        self.ledger.apply_orders_begun(self.begun);
         let wanted = weights(self.wanted);
-        let next = self.ledger.open_for_other(&wanted.key).unwrap_or(wanted);
+        let next = self.ledger.outstanding_for_other(&wanted.key).unwrap_or(wanted);
         self.staged = next.key.version;
-        let begun_before = self.ledger.note_sent(&next, self.begun);
+        let begun_before = self.ledger.record_sent(&next, self.begun);
         self.on_the_way.push(SentCopy { version: self.staged, begun_before });
         self.waits = true;
     }
