--- a/crates/stager/src/engine.rs
+++ b/crates/stager/src/engine.rs
@@ -41,7 +41,7 @@
         Ok(report) => {
             shared.report_at.set(asked_at);
             shared.orders.borrow_mut().apply_orders_begun(report.orders_begun);
-            shared.fence.borrow_mut().note_report(shared.report.borrow().as_ref(), &report);
+            shared.fence.borrow_mut().apply_report(shared.report.borrow().as_ref(), &report);
             note_versions(shared, &report);
             shared.report.send_if_modified(|held| {
                 let changed = held.as_ref().is_none_or(|held| {
--- a/crates/stager/src/fencing.rs
+++ b/crates/stager/src/fencing.rs
@@ -33,7 +33,7 @@
 /// them, for then former orders may have none.
 pub(crate) async fn shut_out_former(shared: &StagerShared, model: &ModelName) -> bool {
     for _ in 0..MOST_TRIES {
-        let probe = shared.fence.borrow_mut().next_probe();
+        let probe = shared.fence.borrow_mut().next_probe_token();
         match order_held(shared, model, probe).await {
             FenceReply::FencedOff => return raise(shared, model).await,
             FenceReply::Passed | FenceReply::HoldsNothing => return false,
@@ -51,18 +51,18 @@
 /// the fence before it orders anything else, the later one finds out and goes beyond.
 pub(crate) async fn raise(shared: &StagerShared, model: &ModelName) -> bool {
     for _ in 0..MOST_TRIES {
-        if !shared.fence.borrow().is_due(Instant::now()) {
+        if !shared.fence.borrow().is_raise_due(Instant::now()) {
             return shared.fence.borrow().is_raised();
         }
         let token = shared.fence.borrow_mut().next_token();
         match order_held(shared, model, token).await {
             FenceReply::Passed => {
                 tracing::info!(token, "the engine refuses orders of former agents");
-                shared.fence.borrow_mut().note_accepted();
+                shared.fence.borrow_mut().record_accepted();
             }
             FenceReply::FencedOff => {
                 tracing::info!(token, "the engine has accepted a higher fencing token");
-                shared.fence.borrow_mut().note_fenced_off();
+                shared.fence.borrow_mut().record_fencing_rejection();
             }
             FenceReply::HoldsNothing => return false,
             FenceReply::Unclear => tokio::time::sleep(ORDER_PAUSE).await,
@@ -70,7 +70,7 @@
     }
     let is_raised = shared.fence.borrow().is_raised();
     if !is_raised {
-        shared.fence.borrow_mut().note_failed(Instant::now());
+        shared.fence.borrow_mut().record_raise_failure(Instant::now());
     }
     is_raised
 }
--- a/crates/stager/src/order_fence.rs
+++ b/crates/stager/src/order_fence.rs
@@ -43,7 +43,7 @@
 
     /// A token below all that agents give their orders, another one each time. An engine that refuses
     /// it has accepted an order of an agent, and does compare tokens.
-    pub fn next_probe(&mut self) -> u64 {
+    pub fn next_probe_token(&mut self) -> u64 {
         self.last_probe = self.last_probe.saturating_add(1);
         self.last_probe
     }
@@ -55,7 +55,7 @@
     }
 
     /// Notes that the engine accepted an order with a token from here.
-    pub fn note_accepted(&mut self) {
+    pub fn record_accepted(&mut self) {
         self.is_raised = true;
     }
 
@@ -63,23 +63,23 @@
     ///
     /// Failure guarded: the machine's clock was set back between two runs of the agent, and the engine
     /// refuses all orders of the second. It shows as an engine that never gets new weights.
-    pub fn note_fenced_off(&mut self) {
+    pub fn record_fencing_rejection(&mut self) {
         self.is_raised = false;
         self.last = self.last.saturating_add(RAISE_MICROS);
     }
 
     /// Notes that the engine's fence could not be raised.
-    pub fn note_failed(&mut self, now: Instant) {
+    pub fn record_raise_failure(&mut self, now: Instant) {
         self.retry_at = Some(now + PAUSE_AFTER_FAILURE);
     }
 
     /// Whether the engine's fence is to be raised.
-    pub fn is_due(&self, now: Instant) -> bool {
+    pub fn is_raise_due(&self, now: Instant) -> bool {
         !self.is_raised && self.retry_at.is_none_or(|at| now >= at)
     }
 
     /// Notes what the engine says of itself; in a new run it knows of no token.
-    pub fn note_report(&mut self, before: Option<&EngineReport>, now: &EngineReport) {
+    pub fn apply_report(&mut self, before: Option<&EngineReport>, now: &EngineReport) {
         let is_new_run = before.is_some_and(|before| {
             before.incarnation != now.incarnation || now.orders_begun < before.orders_begun
         });
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -177,7 +177,7 @@
     let outcome = match shared.order_engine(&shared.dialect.order_request(order)).await {
         Ok(reply) => {
             if shared.dialect.is_fencing_rejection(reply.status) {
-                shared.fence.borrow_mut().note_fenced_off();
+                shared.fence.borrow_mut().record_fencing_rejection();
             }
             shared.dialect.order_outcome(reply.status)
         }
@@ -191,7 +191,7 @@
         }
     };
     match outcome {
-        OrderOutcome::Accepted => shared.fence.borrow_mut().note_accepted(),
+        OrderOutcome::Accepted => shared.fence.borrow_mut().record_accepted(),
         OrderOutcome::Rejected => shared.metrics.orders_refused.inc(),
         OrderOutcome::Unknown => shared.metrics.orders_unknown.inc(),
     }
--- a/tests/all/order_fence.rs
+++ b/tests/all/order_fence.rs
@@ -34,9 +34,9 @@
         tries += 1;
         assert!(tries < 10, "the fence cannot be raised");
         if engine.accepts(fence.next_token()) {
-            fence.note_accepted();
+            fence.record_accepted();
         } else {
-            fence.note_fenced_off();
+            fence.record_fencing_rejection();
         }
     }
     tries
@@ -78,7 +78,7 @@
         for run in runs {
             let clock = now.as_millis() as i64 + run.clock_error_millis;
             let mut fence = OrderFence::new(Duration::from_millis(clock as u64));
-            prop_assert!(engine.fence == 0 || !engine.accepts(fence.next_probe()));
+            prop_assert!(engine.fence == 0 || !engine.accepts(fence.next_probe_token()));
             raise(&mut fence, &mut engine);
             for late in &open {
                 prop_assert!(!engine.accepts(*late), "{late} passes");
@@ -96,10 +96,10 @@
 #[test]
 fn no_token_is_given_twice() {
     let mut fence = OrderFence::new(BEGAN);
-    let mut given = vec![fence.next_probe(), fence.next_probe()];
+    let mut given = vec![fence.next_probe_token(), fence.next_probe_token()];
     for _ in 0..3 {
         given.push(fence.next_token());
-        fence.note_fenced_off();
+        fence.record_fencing_rejection();
     }
     assert!(given.is_sorted_by(|before, after| before < after), "{given:?}");
 }
@@ -124,8 +124,8 @@
     ];
     for (now, stays) in cases {
         let mut fence = OrderFence::new(BEGAN);
-        fence.note_accepted();
-        fence.note_report(Some(&before), &now);
+        fence.record_accepted();
+        fence.apply_report(Some(&before), &now);
         assert_eq!(fence.is_raised(), stays, "{now:?}");
     }
 }
@@ -135,10 +135,10 @@
 async fn a_fence_that_cannot_be_raised_is_left_for_seconds() {
     let now = Instant::now();
     let mut fence = OrderFence::new(BEGAN);
-    assert!(fence.is_due(now));
-    fence.note_failed(now);
-    assert!(!fence.is_due(now + Duration::from_secs(4)));
-    assert!(fence.is_due(now + Duration::from_secs(5)));
-    fence.note_accepted();
-    assert!(!fence.is_due(now + Duration::from_secs(5)), "it is raised");
+    assert!(fence.is_raise_due(now));
+    fence.record_raise_failure(now);
+    assert!(!fence.is_raise_due(now + Duration::from_secs(4)));
+    assert!(fence.is_raise_due(now + Duration::from_secs(5)));
+    fence.record_accepted();
+    assert!(!fence.is_raise_due(now + Duration::from_secs(5)), "it is raised");
 }
