--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -273,7 +273,7 @@
             target: agent.target_address,
             service: agent.service.clone(),
             secret: PeerSecret::derive(PEER_TOKEN),
-            seeds: self.seeds.feeds.clone(),
+            feed_seeds: self.seeds.feeds.clone(),
             chunk_port: address.port(),
             planner: PlannerPolicy {
                 peer_fetches: PEER_FETCHES,
@@ -285,7 +285,10 @@
             upload_bytes_per_second: (self.settings.link_mbps * upload_share * 125_000.0) as u64,
             fetches_early: policy.fetches_early.unwrap_or(true),
             finishes_older: policy.finishes_older.unwrap_or(true),
-            timing: SwitchTiming { bound: self.settings.version_limit, reserve: SWITCH_RESERVE },
+            switch_timing: SwitchTiming {
+                bound: self.settings.version_limit,
+                reserve: SWITCH_RESERVE,
+            },
         };
         let runtime = StagerRuntime::start(options, dialect, listeners, self.metrics);
         runtime.context("start the agent")
--- a/crates/stager/src/follow.rs
+++ b/crates/stager/src/follow.rs
@@ -24,7 +24,7 @@
 /// Follows one control member at a time, another one after a failure.
 pub(crate) async fn follow(shared: Weak<StagerShared>) {
     let mut members = match shared.upgrade() {
-        Some(shared) => shared.options.seeds.borrow().clone(),
+        Some(shared) => shared.options.feed_seeds.borrow().clone(),
         None => return,
     };
     let mut at: usize = rand::random::<u16>().into();
@@ -35,7 +35,7 @@
     loop {
         let Some(held) = shared.upgrade() else { return };
         if members.is_empty() {
-            members = held.options.seeds.borrow().clone();
+            members = held.options.feed_seeds.borrow().clone();
         }
         let Some(address) = members.get(at % members.len().max(1)).cloned() else {
             tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
@@ -76,7 +76,7 @@
             Some(Err(error)) => {
                 tracing::info!(member = %address, %error, "a control member does not answer");
                 at = at.wrapping_add(1);
-                let seeds = held.options.seeds.borrow().clone();
+                let seeds = held.options.feed_seeds.borrow().clone();
                 members.extend(
                     seeds.into_iter().filter(|seed| !members.contains(seed)).collect::<Vec<_>>(),
                 );
--- a/crates/stager/src/older.rs
+++ b/crates/stager/src/older.rs
@@ -107,10 +107,10 @@
         }
         let whole =
             shared.chunks.borrow().get(&older.key).is_some_and(|weights| weights.held().is_full());
-        let rule = OlderVersionUse::new(shared.options.timing);
+        let rule = OlderVersionUse::new(shared.options.switch_timing);
         if whole && rule.is_worth(&view(&shared, &older, &plan)) {
             tracing::info!(version = older.key.version, "the older version is taken meanwhile");
-            let timing = shared.options.timing;
+            let timing = shared.options.switch_timing;
             let drain_until = older.named_at + timing.bound.saturating_sub(timing.reserve / 2);
             if switch::take(&shared, &older.key, plan.plan.may_cut, drain_until).await {
                 *shared.reached.borrow_mut() = Some(older);
--- a/crates/stager/src/options.rs
+++ b/crates/stager/src/options.rs
@@ -29,7 +29,7 @@
     /// Shared secret of our processes.
     pub secret: PeerSecret,
     /// `host:port` of control members' feeds to begin with.
-    pub seeds: Rc<RefCell<Vec<String>>>,
+    pub feed_seeds: Rc<RefCell<Vec<String>>>,
     /// Port at which every agent gives chunks.
     pub chunk_port: u16,
     /// How chunks spread.
@@ -41,5 +41,5 @@
     /// Whether an older version is finished that can be had before a newer one.
     pub finishes_older: bool,
     /// When new weights are taken.
-    pub timing: SwitchTiming,
+    pub switch_timing: SwitchTiming,
 }
--- a/crates/stager/src/work.rs
+++ b/crates/stager/src/work.rs
@@ -79,7 +79,7 @@
         return;
     }
     await_turn(shared, wanted).await;
-    let timing = shared.options.timing;
+    let timing = shared.options.switch_timing;
     let drain_until = due_from(shared, wanted) + timing.bound.saturating_sub(timing.reserve / 2);
     switch::take(shared, key, wanted.plan.may_cut, drain_until).await;
 }
@@ -167,7 +167,8 @@
     }
     let (rank, count) = ranks::rank(shared, wanted);
     let due_from = due_from(shared, wanted);
-    let turn = SwitchSchedule::new(shared.options.timing).turn(due_from.elapsed(), rank, count);
+    let turn =
+        SwitchSchedule::new(shared.options.switch_timing).turn(due_from.elapsed(), rank, count);
     tracing::info!(
         rank,
         of = count,
--- a/tests/all/fleet/narrow_link.rs
+++ b/tests/all/fleet/narrow_link.rs
@@ -187,13 +187,13 @@
         target,
         service: service(),
         secret,
-        seeds: Rc::new(RefCell::new(vec![seed.to_owned()])),
+        feed_seeds: Rc::new(RefCell::new(vec![seed.to_owned()])),
         chunk_port,
         planner,
         upload_bytes_per_second: 1_000_000,
         fetches_early: true,
         finishes_older: true,
-        timing: SwitchTiming { bound: Duration::ZERO, reserve: Duration::ZERO },
+        switch_timing: SwitchTiming { bound: Duration::ZERO, reserve: Duration::ZERO },
     };
     let listeners = StagerListeners { chunks };
     let metrics = DaemonMetrics::new();
--- a/tests/all/plan_following.rs
+++ b/tests/all/plan_following.rs
@@ -68,13 +68,13 @@
         target: free_listener().local_addr().expect("bound"),
         service: service(),
         secret,
-        seeds: Rc::new(RefCell::new(vec![seed])),
+        feed_seeds: Rc::new(RefCell::new(vec![seed])),
         chunk_port: chunks.local_addr().expect("bound").port(),
         planner: PlannerPolicy::default(),
         upload_bytes_per_second: 1_000_000,
         fetches_early: true,
         finishes_older: true,
-        timing: SwitchTiming { bound: Duration::ZERO, reserve: Duration::ZERO },
+        switch_timing: SwitchTiming { bound: Duration::ZERO, reserve: Duration::ZERO },
     };
     let metrics = DaemonMetrics::new();
     let listeners = StagerListeners { chunks };
