--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -275,7 +275,7 @@
             target: agent.target_address,
             service: agent.service.clone(),
             secret: PeerSecret::derive(PEER_TOKEN),
-            seeds: self.seeds.feeds.clone(),
+            feed_seeds: self.seeds.feeds.clone(),
             chunk_port: address.port(),
             planner: PlannerPolicy {
                 max_peer_fetches: PEER_FETCHES,
@@ -287,7 +287,7 @@
             upload_bytes_per_second: (self.settings.link_mbps * upload_share * 125_000.0) as u64,
             fetches_early: policy.fetches_early.unwrap_or(true),
             finishes_older: policy.finishes_older.unwrap_or(true),
-            timing: SwitchTiming {
+            switch_timing: SwitchTiming {
                 staleness_bound: self.settings.version_limit,
                 reserve: SWITCH_RESERVE,
             },
