--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -222,7 +222,7 @@
         settled: bool,
         wait_millis: u64,
     ) -> Option<Vec<[u8; 32]>> {
-        let mut begun = self.shared.weights_begun.subscribe();
+        let mut begun = self.shared.digests_added.subscribe();
         let is_ready = |chunks: &ChunkStore| match chunks.get(&key) {
             Some(weights) => !settled || weights.is_settled(Instant::now()),
             None => !settled && chunks.digests(&key).is_some(),
--- a/crates/stager/src/contents.rs
+++ b/crates/stager/src/contents.rs
@@ -52,7 +52,7 @@
 }
 
 fn member_link(shared: &StagerShared) -> Option<FeedLink> {
-    let member = shared.member.get()?;
+    let member = shared.control_member.get()?;
     let options = LinkOptions {
         connect_timeout: CONNECT_LIMIT,
         call_timeout: ANSWER_LIMIT,
--- a/crates/stager/src/digest_search.rs
+++ b/crates/stager/src/digest_search.rs
@@ -10,7 +10,7 @@
 use crate::{
     digests::WeightDigests,
     ranks,
-    shared::{HeldPlan, StagerShared, request},
+    shared::{ReceivedPlan, StagerShared, request},
     transfer::origin_client,
 };
 use egretseam_proto::{ModelName, ZoneName};
@@ -82,7 +82,7 @@
 pub(crate) async fn find(shared: &StagerShared, key: &WeightsKey) -> WeightDigests {
     // Failure guarded: the list itself was spoilt on its way, and the agent that had it from another
     // one would get the same list again.
-    if shared.distrusts_peers.take() {
+    if shared.requires_origin_digests.take() {
         return from_origin(shared, key, true).await;
     }
     tokio::select! {
@@ -141,19 +141,19 @@
 /// what lies beside it already. It shows as a whole copy drawn from the origin at every start of the
 /// system. Before anything is named there is no hurry: what others have is taken, so that an added
 /// engine finds it when it is up, but the origin is not asked.
-fn may_ask_origin(shared: &StagerShared, plan: &HeldPlan) -> bool {
+fn may_ask_origin(shared: &StagerShared, plan: &ReceivedPlan) -> bool {
     let is_up = shared.report.borrow().is_some();
     is_up || (shared.options.fetches_early && plan.plan.version.is_some())
 }
 
 /// An agent that is not among the peers yet asks last.
-fn own_rank(shared: &StagerShared, plan: &HeldPlan) -> usize {
+fn own_rank(shared: &StagerShared, plan: &ReceivedPlan) -> usize {
     ranks::own_place(shared, plan).unwrap_or(plan.peers.len())
 }
 
 async fn ask_origin(
     shared: &StagerShared,
-    plan: &HeldPlan,
+    plan: &ReceivedPlan,
     key: &WeightsKey,
 ) -> Result<WeightDigests, String> {
     let call = shared.dialect.digests(&key.model, key.version);
@@ -231,7 +231,7 @@
     }
 }
 
-fn parent(shared: &StagerShared, plan: &HeldPlan) -> Option<SocketAddr> {
+fn parent(shared: &StagerShared, plan: &ReceivedPlan) -> Option<SocketAddr> {
     let above = own_rank(shared, plan).checked_sub(1)? / TREE_WIDTH;
     let names = ranks::ranked(&plan.peers, plan.version());
     names.get(above).map(|(_, target)| *target)
--- a/crates/stager/src/engine.rs
+++ b/crates/stager/src/engine.rs
@@ -22,7 +22,7 @@
                 reachable = now_reachable;
                 tracing::info!(reachable, target = %shared.options.target, "the engine's reachability changed");
             }
-            if shared.hurry.get() { HURRIED_INTERVAL } else { USUAL_INTERVAL }
+            if shared.polls_fast.get() { HURRIED_INTERVAL } else { USUAL_INTERVAL }
         };
         tokio::time::sleep(interval).await;
     }
@@ -32,7 +32,7 @@
 pub(crate) async fn look(shared: &StagerShared) -> bool {
     let asked_at = Instant::now();
     let call = shared.dialect.report();
-    let report = match shared.watch_engine(&call).await {
+    let report = match shared.poll_engine(&call).await {
         Ok(reply) if reply.status == 200 => shared.dialect.read_report(&reply.body),
         Ok(reply) => Err(format!("status {}", reply.status)),
         Err(error) => Err(error.to_string()),
@@ -80,7 +80,7 @@
 /// that, so it is the sign of an order that the engine carried out late.
 fn note_versions(shared: &StagerShared, report: &EngineReport) {
     let Some(now) = report.models.first() else { return };
-    let before = shared.held_before.replace(Some((report.incarnation, now.clone())));
+    let before = shared.last_loaded.replace(Some((report.incarnation, now.clone())));
     let Some((incarnation, before)) = before else { return };
     let is_same_model = incarnation == report.incarnation && before.model == now.model;
     if is_same_model && now.version < before.version {
--- a/crates/stager/src/fencing.rs
+++ b/crates/stager/src/fencing.rs
@@ -102,7 +102,7 @@
     let begun_before = report.orders_begun;
     let order = WeightsOrder { model, version, cut: false, begun_before, fence };
     shared.metrics.orders.inc();
-    match engine.order_kept(&shared.dialect.order(&order)).await {
+    match engine.order_on_same_connection(&shared.dialect.order(&order)).await {
         Ok(reply) if shared.dialect.is_fenced_off(reply.status) => FenceReply::FencedOff,
         Ok(reply) if shared.dialect.read_order(reply.status) == OrderOutcome::Accepted => {
             FenceReply::Passed
--- a/crates/stager/src/follow.rs
+++ b/crates/stager/src/follow.rs
@@ -1,7 +1,7 @@
 //! Telling control about the engine, and learning what to bring to it.
 
 use crate::{
-    shared::{HeldPlan, StagerShared},
+    shared::{ReceivedPlan, StagerShared},
     switch,
 };
 use egretseam_proto::ZoneName;
@@ -51,7 +51,7 @@
         let call = AgentCall {
             target: held.options.target,
             service: held.options.service.clone(),
-            engine: held.engine_news(),
+            engine: held.engine_status(),
             run: position.run,
             seen: position.seen,
             peers_seen: position.peers_seen,
@@ -61,13 +61,13 @@
             reply = current.agent(call) => Some(reply),
             // News of the engine are told at once.
             _ = report.changed() => None,
-            () = held.tell.notified() => None,
+            () = held.report_due.notified() => None,
         };
         match reply {
             None => {}
             Some(Ok(reply)) => {
                 has_answered = true;
-                held.member.set(address.parse().ok());
+                held.control_member.set(address.parse().ok());
                 if !reply.members.is_empty() {
                     members.clone_from(&reply.members);
                 }
@@ -156,10 +156,10 @@
             // A member that is behind; the newest version that was ever named is wanted.
             return;
         }
-        let named_at = same.map_or(told_at, |held| held.named_at.min(told_at));
+        let published_at = same.map_or(told_at, |held| held.published_at.min(told_at));
         tracing::info!(?version, peers = peers.len(), "plan changed");
         let unmet = held.as_ref().filter(|held| !switch::holds(shared, &held.key()));
-        let due_from = unmet.map_or(named_at, |held| held.due_from.min(named_at));
-        *held = Some(HeldPlan { plan, peers, named_at, due_from });
+        let deadline_start = unmet.map_or(published_at, |held| held.deadline_start.min(published_at));
+        *held = Some(ReceivedPlan { plan, peers, published_at, deadline_start });
     });
 }
--- a/crates/stager/src/former_orders.rs
+++ b/crates/stager/src/former_orders.rs
@@ -32,7 +32,7 @@
 /// an order of the former agent. It shows as answers from mixed weights. The order that is entered
 /// is settled before anything else is staged, as one of this agent's own.
 pub(crate) async fn resolve(shared: &StagerShared, key: &WeightsKey) -> bool {
-    if shared.knows_orders.get() {
+    if shared.previous_orders_known.get() {
         return true;
     }
     if !engine::look(shared).await {
@@ -59,7 +59,7 @@
         tracing::info!(version = weights.key.version, "an earlier agent's order may be open");
         shared.orders.borrow_mut().note_sent(&Rc::new(weights), begun);
     }
-    shared.knows_orders.set(true);
+    shared.previous_orders_known.set(true);
     true
 }
 
--- a/crates/stager/src/loads.rs
+++ b/crates/stager/src/loads.rs
@@ -39,7 +39,7 @@
 
 /// The member to tell and what to tell it, if both are known.
 fn sample(shared: &StagerShared) -> Option<(SocketAddr, u16)> {
-    let member = shared.member.get()?;
+    let member = shared.control_member.get()?;
     let report = shared.report.borrow();
     let report = report.as_ref()?;
     let busy = report.running.saturating_add(report.waiting).min(u32::from(u16::MAX));
--- a/crates/stager/src/older.rs
+++ b/crates/stager/src/older.rs
@@ -8,7 +8,7 @@
 use crate::{
     chunks::HeldWeights,
     ranks,
-    shared::{HeldPlan, StagerShared},
+    shared::{ReceivedPlan, StagerShared},
     switch,
     transfer::Transfer,
     work,
@@ -30,12 +30,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct OlderVersion {
     pub(crate) key: WeightsKey,
-    pub(crate) named_at: Instant,
+    pub(crate) published_at: Instant,
 }
 
 /// Keeps a version that is overtaken by a newer one, and fetches what is missing of it from other
 /// agents. The origin is left to the newer one.
-pub(crate) fn keep(shared: &Rc<StagerShared>, overtaken: &HeldPlan) {
+pub(crate) fn keep(shared: &Rc<StagerShared>, overtaken: &ReceivedPlan) {
     let key = overtaken.key();
     if !shared.options.finishes_older || switch::holds(shared, &key) {
         return;
@@ -48,13 +48,13 @@
     };
     tracing::info!(version = key.version, missing, "an overtaken version is kept");
     *shared.older.borrow_mut() =
-        Some(OlderVersion { key: key.clone(), named_at: overtaken.named_at });
+        Some(OlderVersion { key: key.clone(), published_at: overtaken.published_at });
     if missing > 0 {
         actix_rt::spawn(complete(shared.clone(), overtaken.clone(), key));
     }
 }
 
-async fn complete(shared: Rc<StagerShared>, overtaken: HeldPlan, key: WeightsKey) {
+async fn complete(shared: Rc<StagerShared>, overtaken: ReceivedPlan, key: WeightsKey) {
     let transfer = {
         let chunks = shared.chunks.borrow();
         let Some(weights) = chunks.get(&key) else { return };
@@ -89,7 +89,7 @@
     let chunks = shared.chunks.borrow();
     let expected =
         chunks.get(&plan.key()).and_then(|weights| weights.expected_whole(Instant::now()));
-    expected.is_some() || plan.named_at.elapsed() < FIRST_CHUNKS
+    expected.is_some() || plan.published_at.elapsed() < FIRST_CHUNKS
 }
 
 /// Has the engine take the older version when that is worth it, for as long as the agent lives.
@@ -97,7 +97,7 @@
     loop {
         tokio::time::sleep(LOOK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
-        shared.note_stalled(is_stalled(&shared));
+        shared.set_stalled(is_stalled(&shared));
         let Some(older) = shared.older.borrow().clone() else { continue };
         let Some(plan) = shared.plan.borrow().clone() else { continue };
         if is_done(&shared, &older, &plan) {
@@ -111,29 +111,29 @@
         if whole && rule.is_worth(&view(&shared, &older, &plan)) {
             tracing::info!(version = older.key.version, "the older version is taken meanwhile");
             let timing = shared.options.timing;
-            let drain_until = older.named_at + timing.bound.saturating_sub(timing.reserve / 2);
+            let drain_until = older.published_at + timing.bound.saturating_sub(timing.reserve / 2);
             if switch::take(&shared, &older.key, plan.plan.may_cut, drain_until).await {
-                *shared.reached.borrow_mut() = Some(older);
+                *shared.superseded_loaded.borrow_mut() = Some(older);
             }
         }
     }
 }
 
 /// Whether nothing is to be done with the older version any more.
-fn is_done(shared: &StagerShared, older: &OlderVersion, plan: &HeldPlan) -> bool {
+fn is_done(shared: &StagerShared, older: &OlderVersion, plan: &ReceivedPlan) -> bool {
     let newest_is_here =
         shared.chunks.borrow().get(&plan.key()).is_some_and(|weights| weights.held().is_full());
     newest_is_here || plan.plan.model != older.key.model || switch::holds(shared, &older.key)
 }
 
-fn view(shared: &StagerShared, older: &OlderVersion, plan: &HeldPlan) -> OlderVersionView {
+fn view(shared: &StagerShared, older: &OlderVersion, plan: &ReceivedPlan) -> OlderVersionView {
     let now = Instant::now();
     let (rank, count) = ranks::rank(shared, plan);
     let chunks = shared.chunks.borrow();
     let expected = |weights: &HeldWeights| weights.expected_whole(now);
     OlderVersionView {
-        since_named: now.saturating_duration_since(older.named_at),
-        since_newest: now.saturating_duration_since(plan.named_at),
+        since_named: now.saturating_duration_since(older.published_at),
+        since_newest: now.saturating_duration_since(plan.published_at),
         newest_whole_in: chunks.get(&plan.key()).and_then(expected),
         serves: work::serves(shared, plan),
         rank,
--- a/crates/stager/src/probe.rs
+++ b/crates/stager/src/probe.rs
@@ -1,7 +1,7 @@
 //! Asking a few other agents all the time, to know how long anything is on its way over the own link.
 
 use crate::{
-    shared::{HeldPlan, StagerShared},
+    shared::{ReceivedPlan, StagerShared},
     transfer::peer_name,
 };
 use actix_rt::task::JoinHandle;
@@ -51,7 +51,7 @@
             drop(held);
             follow_peers(&shared, &peers, &mut tasks);
         }
-        shared.heed_link();
+        shared.adapt_to_link();
     }
 }
 
@@ -77,7 +77,7 @@
 
 /// The next agents behind this one, in the order of addresses, those of the own availability zone first:
 /// what is asked there crosses no zone.
-fn neighbours(shared: &StagerShared, plan: &HeldPlan) -> Vec<SocketAddr> {
+fn neighbours(shared: &StagerShared, plan: &ReceivedPlan) -> Vec<SocketAddr> {
     let own = shared.options.target;
     let mut peers: Vec<&SwarmPeer> = plan.peers.iter().filter(|peer| peer.target != own).collect();
     peers.sort_by_key(|peer| (peer.zone != shared.options.zone, peer.target < own, peer.target));
--- a/crates/stager/src/ranks.rs
+++ b/crates/stager/src/ranks.rs
@@ -1,7 +1,7 @@
 //! The order in which instances take their turns.
 
 use crate::{
-    shared::{HeldPlan, StagerShared},
+    shared::{ReceivedPlan, StagerShared},
     transfer::peer_name,
 };
 use egretseam_proto::InstanceName;
@@ -9,14 +9,14 @@
 use std::net::SocketAddr;
 
 /// This instance's place among those that take a version, if it is one of them yet.
-pub(crate) fn own_place(shared: &StagerShared, plan: &HeldPlan) -> Option<usize> {
+pub(crate) fn own_place(shared: &StagerShared, plan: &ReceivedPlan) -> Option<usize> {
     let own = peer_name(shared.options.target);
     let names = ranked(&plan.peers, plan.version());
     names.iter().position(|(name, _)| *name == own)
 }
 
 /// This instance's turn to take a version, and how many there are.
-pub(crate) fn rank(shared: &StagerShared, plan: &HeldPlan) -> (usize, usize) {
+pub(crate) fn rank(shared: &StagerShared, plan: &ReceivedPlan) -> (usize, usize) {
     (own_place(shared, plan).unwrap_or(0), plan.peers.len())
 }
 
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -35,7 +35,7 @@
 /// Steps in which entries are told of a slow link.
 const LINK_DELAY_STEP: Duration = Duration::from_millis(500);
 /// Largest answer of an engine or the origin.
-pub(crate) const MAX_ANSWER: usize = 64 * 1024 * 1024;
+pub(crate) const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Counters of an agent.
 pub(crate) struct StagerMetrics {
@@ -78,17 +78,17 @@
 
 /// A plan and when the version in it was named, as far as this agent knows.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldPlan {
+pub(crate) struct ReceivedPlan {
     pub(crate) plan: WeightsPlan,
     /// Agents to exchange chunks with, in the order of their targets' addresses.
     pub(crate) peers: Vec<SwarmPeer>,
-    pub(crate) named_at: Instant,
+    pub(crate) published_at: Instant,
     /// When the oldest version was named that the engine has not reached yet: its bound comes
     /// first, and any newer version keeps it.
-    pub(crate) due_from: Instant,
+    pub(crate) deadline_start: Instant,
 }
 
-impl HeldPlan {
+impl ReceivedPlan {
     /// What to bring to the engine.
     pub(crate) fn key(&self) -> WeightsKey {
         WeightsKey { model: self.plan.model.clone(), version: self.version() }
@@ -104,27 +104,27 @@
     pub(crate) options: StagerOptions,
     pub(crate) dialect: Rc<dyn EngineDialect>,
     pub(crate) metrics: StagerMetrics,
-    pub(crate) plan: watch::Sender<Option<HeldPlan>>,
+    pub(crate) plan: watch::Sender<Option<ReceivedPlan>>,
     /// What the engine last said, and when.
     pub(crate) report: watch::Sender<Option<EngineReport>>,
     pub(crate) report_at: Cell<Instant>,
     /// What the engine held when it last held anything, and in which of its runs.
-    pub(crate) held_before: RefCell<Option<(Incarnation, HeldModel)>>,
+    pub(crate) last_loaded: RefCell<Option<(Incarnation, HeldModel)>>,
     /// Whether an order is about to be given or being carried out.
-    pub(crate) ordering: Cell<bool>,
+    pub(crate) order_in_progress: Cell<bool>,
     /// Wakes the task that tells control of the engine.
-    pub(crate) tell: Notify,
+    pub(crate) report_due: Notify,
     /// The control member that is followed at present.
-    pub(crate) member: Cell<Option<SocketAddr>>,
+    pub(crate) control_member: Cell<Option<SocketAddr>>,
     /// Whether the engine is looked at often.
-    pub(crate) hurry: Cell<bool>,
+    pub(crate) polls_fast: Cell<bool>,
     pub(crate) chunks: RefCell<ChunkStore>,
     /// Grows with each version whose digests become known here; other agents wait on it.
-    pub(crate) weights_begun: watch::Sender<u64>,
+    pub(crate) digests_added: watch::Sender<u64>,
     /// The version before the newest, while it may still be of use.
     pub(crate) older: RefCell<Option<OlderVersion>>,
     /// The last overtaken version that the engine took.
-    pub(crate) reached: RefCell<Option<OlderVersion>>,
+    pub(crate) superseded_loaded: RefCell<Option<OlderVersion>>,
     /// Held while the engine is brought to a version, so that orders do not overlap.
     pub(crate) switching: Mutex<()>,
     /// Outlives whoever gave the order: a newer version may interrupt that.
@@ -134,10 +134,10 @@
     /// The last version whose content control has noted at this agent's word.
     pub(crate) noted_content: RefCell<Option<WeightsKey>>,
     /// Whether the ledger holds what the agent before this one may have left open.
-    pub(crate) knows_orders: Cell<bool>,
+    pub(crate) previous_orders_known: Cell<bool>,
     pub(crate) started_at: Instant,
     /// Whether the next digests must come from the origin, since the last ones were wrong.
-    pub(crate) distrusts_peers: Cell<bool>,
+    pub(crate) requires_origin_digests: Cell<bool>,
     /// Whether no chunk comes any more of the version that the engine is to have.
     stalled: Cell<bool>,
     /// Whether the own link is narrower than it was said to be, by questions to other agents.
@@ -166,22 +166,22 @@
             plan: watch::Sender::new(None),
             report: watch::Sender::new(None),
             report_at: Cell::new(Instant::now()),
-            held_before: RefCell::new(None),
-            ordering: Cell::new(false),
-            tell: Notify::new(),
-            member: Cell::new(None),
-            hurry: Cell::new(false),
+            last_loaded: RefCell::new(None),
+            order_in_progress: Cell::new(false),
+            report_due: Notify::new(),
+            control_member: Cell::new(None),
+            polls_fast: Cell::new(false),
             chunks: RefCell::default(),
-            weights_begun: watch::Sender::new(0),
+            digests_added: watch::Sender::new(0),
             older: RefCell::new(None),
-            reached: RefCell::new(None),
+            superseded_loaded: RefCell::new(None),
             switching: Mutex::new(()),
             orders: RefCell::default(),
             fence: RefCell::new(OrderFence::new(since_epoch())),
             noted_content: RefCell::default(),
-            knows_orders: Cell::new(false),
+            previous_orders_known: Cell::new(false),
             started_at: Instant::now(),
-            distrusts_peers: Cell::new(false),
+            requires_origin_digests: Cell::new(false),
             stalled: Cell::new(false),
             path: RefCell::default(),
             told_delay: Cell::new(Duration::ZERO),
@@ -200,7 +200,7 @@
     }
 
     /// Gives the engine an order.
-    pub(crate) async fn order_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn send_order(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
         self.engine.lock().await.call(&request(call, ORDER_LIMIT)).await
     }
 
@@ -210,21 +210,21 @@
     }
 
     /// Calls the engine on the connection kept for watching it, which staging does not delay.
-    pub(crate) async fn watch_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn poll_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
         self.watcher.lock().await.call(&request(call, ENGINE_CALL_LIMIT)).await
     }
 
     /// Lets entries know whether there is an end in sight of the engine's want of weights.
-    pub(crate) fn note_stalled(&self, stalled: bool) {
+    pub(crate) fn set_stalled(&self, stalled: bool) {
         if self.stalled.replace(stalled) != stalled {
             tracing::info!(stalled, "chunks of the wanted version");
-            self.tell.notify_one();
+            self.report_due.notify_one();
         }
     }
 
     /// Lets less be on its way and gives less to others over a link that is narrower than it was said
     /// to be, and lets entries know, in steps, so that they are told seldom.
-    pub(crate) fn heed_link(&self) {
+    pub(crate) fn adapt_to_link(&self) {
         let now = Instant::now();
         self.downloads.look(now);
         self.uploads.look(now);
@@ -234,28 +234,28 @@
         let rounded = LINK_DELAY_STEP.mul_f64(steps.ceil());
         if self.told_delay.replace(rounded) != rounded {
             tracing::info!(delay_millis = rounded.as_millis() as u64, "the own link's delay");
-            self.tell.notify_one();
+            self.report_due.notify_one();
         }
     }
 
     /// Tells entries for as long as the guard lives that the engine takes no requests, and looks at
     /// the engine often.
-    pub(crate) fn begin_ordering(&self) -> OrderingGuard<'_> {
-        self.ordering.set(true);
-        self.hurry.set(true);
-        self.tell.notify_one();
-        OrderingGuard { shared: self }
+    pub(crate) fn begin_order(&self) -> OrderGuard<'_> {
+        self.order_in_progress.set(true);
+        self.polls_fast.set(true);
+        self.report_due.notify_one();
+        OrderGuard { shared: self }
     }
 
     /// What to tell control of the engine.
-    pub(crate) fn engine_news(&self) -> Option<EngineNews> {
+    pub(crate) fn engine_status(&self) -> Option<EngineNews> {
         let report = self.report.borrow();
         let report = report.as_ref()?;
         Some(EngineNews {
             address: self.options.target,
             incarnation: report.incarnation,
             models: report.models.clone(),
-            loading: report.busy || self.ordering.get(),
+            loading: report.busy || self.order_in_progress.get(),
             stalled: self.stalled.get(),
             link_delay_millis: self.told_delay.get().as_millis() as u64,
             age_millis: self.report_at.get().elapsed().as_millis() as u64,
@@ -275,7 +275,7 @@
     }
 
     /// Gives an order to the run of the engine that answered the call before.
-    pub(crate) async fn order_kept(
+    pub(crate) async fn order_on_same_connection(
         &mut self,
         call: &EngineCall,
     ) -> Result<CallReply, ExchangeError> {
@@ -287,15 +287,15 @@
 /// one's switch is given up midway. Without the guard's end entries would be told until the newer
 /// one's switch that the engine takes no requests; it shows as an engine that stands empty for
 /// seconds.
-pub(crate) struct OrderingGuard<'a> {
+pub(crate) struct OrderGuard<'a> {
     shared: &'a StagerShared,
 }
 
-impl Drop for OrderingGuard<'_> {
+impl Drop for OrderGuard<'_> {
     fn drop(&mut self) {
-        self.shared.ordering.set(false);
-        self.shared.hurry.set(false);
-        self.shared.tell.notify_one();
+        self.shared.order_in_progress.set(false);
+        self.shared.polls_fast.set(false);
+        self.shared.report_due.notify_one();
     }
 }
 
@@ -312,6 +312,6 @@
         content_type: call.content_type,
         body: &call.body,
         limit,
-        max_body: MAX_ANSWER,
+        max_body: MAX_RESPONSE_BYTES,
     }
 }
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -119,7 +119,7 @@
         return false;
     }
     // Entries are told before the engine is, so that no request meets an engine that refuses it.
-    let _ordering = shared.begin_ordering();
+    let _ordering = shared.begin_order();
     tokio::join!(tokio::time::sleep(TELL_AHEAD), contents::note(shared, &weights.digests));
     if cut {
         drain(shared, drain_until).await;
@@ -165,7 +165,7 @@
 
 async fn send(shared: &StagerShared, order: &WeightsOrder<'_>) -> OrderOutcome {
     shared.metrics.orders.inc();
-    let outcome = match shared.order_engine(&shared.dialect.order(order)).await {
+    let outcome = match shared.send_order(&shared.dialect.order(order)).await {
         Ok(reply) => {
             if shared.dialect.is_fenced_off(reply.status) {
                 shared.fence.borrow_mut().note_fenced_off();
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -181,7 +181,7 @@
                 () = self.wake.notified() => {}
                 () = tokio::time::sleep(PLAN_INTERVAL) => {}
             }
-            self.shared.heed_link();
+            self.shared.adapt_to_link();
             if self.wrong.borrow().values().any(|count| *count >= WRONG_DIGEST) {
                 return false;
             }
@@ -234,7 +234,7 @@
                 let (key, chunk) = (&self.key, order.chunk);
                 let source = ChunkSource { link: &link, is_near, key, chunk };
                 let answer = self.shared.downloads.chunk(&source).await;
-                self.shared.heed_link();
+                self.shared.adapt_to_link();
                 match answer {
                     Ok(chunk) => {
                         self.planner.borrow_mut().note_queued(name, chunk.queued);
--- a/crates/stager/src/work.rs
+++ b/crates/stager/src/work.rs
@@ -3,7 +3,7 @@
 use crate::{
     chunks::HeldWeights,
     digest_search, older, ranks,
-    shared::{HeldPlan, StagerShared},
+    shared::{ReceivedPlan, StagerShared},
     staging, switch,
     transfer::Transfer,
 };
@@ -24,7 +24,7 @@
     let mut plan = held.plan.subscribe();
     let mut report = held.report.subscribe();
     drop(held);
-    let mut before: Option<HeldPlan> = None;
+    let mut before: Option<ReceivedPlan> = None;
     loop {
         let Some(shared) = shared.upgrade() else { return };
         let wanted = plan.borrow_and_update().clone();
@@ -62,7 +62,7 @@
 }
 
 /// Takes the next steps towards `key`; returns when nothing is left to do for now.
-async fn bring(shared: &Rc<StagerShared>, wanted: &HeldPlan, key: &WeightsKey) {
+async fn bring(shared: &Rc<StagerShared>, wanted: &ReceivedPlan, key: &WeightsKey) {
     let known = shared.chunks.borrow().get(key).is_some();
     if !known {
         begin(shared, key).await;
@@ -99,14 +99,14 @@
         }
     }
     if weights.held().is_full() && switch::holds(shared, key) {
-        shared.knows_orders.set(true);
+        shared.previous_orders_known.set(true);
     }
     shared.chunks.borrow_mut().begin(weights);
-    shared.weights_begun.send_modify(|count| *count += 1);
+    shared.digests_added.send_modify(|count| *count += 1);
 }
 
 /// Fetches all chunks, following changes of the swarm meanwhile.
-async fn fetch(shared: &Rc<StagerShared>, wanted: &HeldPlan, key: &WeightsKey) {
+async fn fetch(shared: &Rc<StagerShared>, wanted: &ReceivedPlan, key: &WeightsKey) {
     let transfer = {
         let chunks = shared.chunks.borrow();
         let Some(weights) = chunks.get(key) else { return };
@@ -156,12 +156,12 @@
         "the digests match nobody's chunks; asking the origin anew"
     );
     shared.chunks.borrow_mut().forget();
-    shared.distrusts_peers.set(true);
+    shared.requires_origin_digests.set(true);
 }
 
 /// Waits for this instance's turn. An engine that holds nothing serves nobody, so it waits for
 /// none.
-async fn await_turn(shared: &StagerShared, wanted: &HeldPlan) {
+async fn await_turn(shared: &StagerShared, wanted: &ReceivedPlan) {
     if !serves(shared, wanted) || wanted.plan.version.is_none() {
         return;
     }
@@ -178,7 +178,7 @@
 }
 
 /// Whether the engine holds the model at all.
-pub(crate) fn serves(shared: &StagerShared, wanted: &HeldPlan) -> bool {
+pub(crate) fn serves(shared: &StagerShared, wanted: &ReceivedPlan) -> bool {
     let report = shared.report.borrow();
     let models = report.iter().flat_map(|report| &report.models);
     models.into_iter().any(|held| held.model == wanted.plan.model)
@@ -186,10 +186,10 @@
 
 /// When the oldest version was named that the engine has not reached: its bound comes first. One
 /// that was overtaken and taken all the same is reached.
-fn due_from(shared: &StagerShared, wanted: &HeldPlan) -> Instant {
-    let older = shared.reached.borrow();
+fn due_from(shared: &StagerShared, wanted: &ReceivedPlan) -> Instant {
+    let older = shared.superseded_loaded.borrow();
     let reached = older.as_ref().is_some_and(|older| {
-        older.key.model == wanted.plan.model && older.named_at >= wanted.due_from
+        older.key.model == wanted.plan.model && older.published_at >= wanted.deadline_start
     });
-    if reached { wanted.named_at } else { wanted.due_from }
+    if reached { wanted.published_at } else { wanted.deadline_start }
 }
