--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -26,7 +26,7 @@
 
 /// Verified chunks of one version.
 #[derive(Debug)]
-pub(crate) struct HeldWeights {
+pub(crate) struct VersionChunks {
     pub(crate) key: WeightsKey,
     pub(crate) digests: Rc<WeightDigests>,
     chunks: Vec<Option<Bytes>>,
@@ -38,7 +38,7 @@
     count: watch::Sender<u32>,
 }
 
-impl HeldWeights {
+impl VersionChunks {
     pub(crate) fn new(key: WeightsKey, digests: Rc<WeightDigests>) -> Self {
         let count = digests.count();
         let chunks = vec![None; count as usize];
@@ -62,7 +62,7 @@
 
     /// How long it takes until all chunks are here, if they go on coming as they have; `None` if
     /// they have stopped or none has come.
-    pub(crate) fn expected_whole(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn time_to_complete(&self, now: Instant) -> Option<Duration> {
         self.pace.expected_whole(self.digests.count(), now)
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// All chunks, if they are here.
-    pub(crate) fn whole(&self) -> Option<WholeWeights> {
+    pub(crate) fn complete(&self) -> Option<WholeWeights> {
         let chunks = self.chunks.iter().cloned().collect::<Option<Vec<Bytes>>>()?;
         Some(WholeWeights { key: self.key.clone(), digests: self.digests.clone(), chunks })
     }
@@ -95,7 +95,7 @@
         whole_at.is_some_and(|at| now.saturating_duration_since(at) >= SETTLED_AFTER)
     }
 
-    pub(crate) fn held(&self) -> &ChunkSet {
+    pub(crate) fn chunk_set(&self) -> &ChunkSet {
         &self.held
     }
 }
@@ -103,19 +103,19 @@
 /// The version being brought to the engine, and one that it has overtaken.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkStore {
-    weights: Option<HeldWeights>,
-    older: Option<HeldWeights>,
+    weights: Option<VersionChunks>,
+    older: Option<VersionChunks>,
     /// Digests of versions whose chunks are not kept, the latest last. Agents that start again need
     /// them to find out what lies staged.
     other_digests: VecDeque<Rc<WeightDigests>>,
 }
 
 impl ChunkStore {
-    pub(crate) fn get(&self, key: &WeightsKey) -> Option<&HeldWeights> {
+    pub(crate) fn get(&self, key: &WeightsKey) -> Option<&VersionChunks> {
         self.weights.iter().chain(&self.older).find(|weights| weights.key == *key)
     }
 
-    pub(crate) fn get_mut(&mut self, key: &WeightsKey) -> Option<&mut HeldWeights> {
+    pub(crate) fn get_mut(&mut self, key: &WeightsKey) -> Option<&mut VersionChunks> {
         self.weights.iter_mut().chain(&mut self.older).find(|weights| weights.key == *key)
     }
 
@@ -128,21 +128,21 @@
 
     /// Digests of all versions of a model of whose chunks at least one has the digest that stands in
     /// its place.
-    pub(crate) fn digests_like(
+    pub(crate) fn digests_matching(
         &self,
         model: &ModelName,
         digests: &[[u8; 32]],
     ) -> Vec<Rc<WeightDigests>> {
         let held = self.weights.iter().chain(&self.older).map(|weights| &weights.digests);
         let all = held.chain(&self.other_digests);
-        all.filter(|known| known.model == *model && known.count_like(digests) > 0)
+        all.filter(|known| known.model == *model && known.count_matching(digests) > 0)
             .cloned()
             .collect()
     }
 
     /// Keeps the digests of a version whose chunks are not kept, in place of the oldest.
     pub(crate) fn keep_digests(&mut self, digests: &Rc<WeightDigests>) {
-        let is_known = |held: &HeldWeights| held.key == digests.key();
+        let is_known = |held: &VersionChunks| held.key == digests.key();
         if self.weights.iter().chain(&self.older).any(is_known) {
             return;
         }
@@ -154,18 +154,18 @@
     }
 
     /// Begins with the version that is to be brought to the engine.
-    pub(crate) fn begin(&mut self, weights: HeldWeights) {
+    pub(crate) fn start_version(&mut self, weights: VersionChunks) {
         let before = self.weights.replace(weights);
         self.retire(before);
     }
 
     /// Forgets the version that is to be brought to the engine, and its digests.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn discard_current(&mut self) {
         self.weights = None;
     }
 
     /// Sets a version aside that is overtaken, in place of one set aside before.
-    pub(crate) fn keep(&mut self, key: &WeightsKey) {
+    pub(crate) fn set_aside(&mut self, key: &WeightsKey) {
         if self.weights.as_ref().is_some_and(|weights| weights.key == *key) {
             let before = std::mem::replace(&mut self.older, self.weights.take());
             self.retire(before);
@@ -173,12 +173,12 @@
     }
 
     /// Forgets the chunks of the version set aside.
-    pub(crate) fn drop_older(&mut self) {
+    pub(crate) fn drop_superseded(&mut self) {
         let before = self.older.take();
         self.retire(before);
     }
 
-    fn retire(&mut self, weights: Option<HeldWeights>) {
+    fn retire(&mut self, weights: Option<VersionChunks>) {
         if let Some(weights) = weights {
             self.keep_digests(&weights.digests);
         }
@@ -212,7 +212,7 @@
         let _ = tokio::time::timeout(wait, more).await;
         let chunks = self.shared.chunks.borrow();
         let origin_lost = self.shared.origin_lost.get();
-        Some(HeldReply { chunks: chunks.get(&key)?.held().to_text(), origin_lost })
+        Some(HeldReply { chunks: chunks.get(&key)?.chunk_set().to_text(), origin_lost })
     }
 
     async fn digests(
@@ -245,7 +245,7 @@
         model: ModelName,
         digests: Vec<[u8; 32]>,
     ) -> Vec<VersionDigests> {
-        let like = self.shared.chunks.borrow().digests_like(&model, &digests);
+        let like = self.shared.chunks.borrow().digests_matching(&model, &digests);
         like.iter()
             .map(|known| VersionDigests { version: known.version, digests: known.chunks.clone() })
             .collect()
--- a/crates/stager/src/contents.rs
+++ b/crates/stager/src/contents.rs
@@ -24,7 +24,7 @@
         return;
     }
     let Some(member) = member_link(shared) else { return };
-    match member.note_content(key.clone(), digests.content()).await {
+    match member.note_content(key.clone(), digests.content_digest()).await {
         Ok(true) => *shared.noted_content.borrow_mut() = Some(key),
         Ok(false) => {
             tracing::info!(
--- a/crates/stager/src/digest_search.rs
+++ b/crates/stager/src/digest_search.rs
@@ -41,12 +41,12 @@
 
 /// When an agent asks the origin.
 #[derive(Clone, Copy, Debug)]
-pub struct OriginTurns {
+pub struct OriginSchedule {
     began_at: Instant,
     asked_at: Option<Instant>,
 }
 
-impl OriginTurns {
+impl OriginSchedule {
     /// An agent that begins to look for the list.
     pub fn new(now: Instant) -> Self {
         Self { began_at: now, asked_at: None }
@@ -62,7 +62,7 @@
     }
 
     /// Notes that the origin was asked.
-    pub fn note_asked(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.asked_at = Some(now);
     }
 }
@@ -94,7 +94,7 @@
 }
 
 /// Digests of versions that staged chunks may be of, from another agent drawn at random.
-pub(crate) async fn like(
+pub(crate) async fn versions_matching(
     shared: &StagerShared,
     model: &ModelName,
     digests: &[[u8; 32]],
@@ -117,7 +117,7 @@
 }
 
 async fn from_origin(shared: &StagerShared, key: &WeightsKey, at_once: bool) -> WeightDigests {
-    let mut turns = OriginTurns::new(Instant::now());
+    let mut turns = OriginSchedule::new(Instant::now());
     loop {
         let plan = shared.plan.borrow().clone();
         let rank = |plan| if at_once { 0 } else { own_rank(shared, plan) };
@@ -131,7 +131,7 @@
                     tracing::info!(version = key.version, error, "the origin gives no digests");
                 }
             }
-            turns.note_asked(Instant::now());
+            turns.record_request(Instant::now());
         }
         tokio::time::sleep(TURN_INTERVAL).await;
     }
@@ -148,7 +148,7 @@
 
 /// An agent that is not among the peers yet asks last.
 fn own_rank(shared: &StagerShared, plan: &ReceivedPlan) -> usize {
-    ranks::own_place(shared, plan).unwrap_or(plan.peers.len())
+    ranks::swarm_rank(shared, plan).unwrap_or(plan.peers.len())
 }
 
 async fn ask_origin(
@@ -233,7 +233,7 @@
 
 fn parent(shared: &StagerShared, plan: &ReceivedPlan) -> Option<SocketAddr> {
     let above = own_rank(shared, plan).checked_sub(1)? / TREE_WIDTH;
-    let names = ranks::ranked(&plan.peers, plan.version());
+    let names = ranks::ranked_instances(&plan.peers, plan.version());
     names.get(above).map(|(_, target)| *target)
 }
 
--- a/crates/stager/src/digests.rs
+++ b/crates/stager/src/digests.rs
@@ -22,7 +22,7 @@
     }
 
     /// What all of them together are.
-    pub fn content(&self) -> ContentDigest {
+    pub fn content_digest(&self) -> ContentDigest {
         ContentDigest::of(self.chunks.as_flattened())
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// How many of these digests stand in their place here.
-    pub(crate) fn count_like(&self, digests: &[[u8; 32]]) -> usize {
+    pub(crate) fn count_matching(&self, digests: &[[u8; 32]]) -> usize {
         self.chunks.iter().zip(digests).filter(|(own, other)| own == other).count()
     }
 }
--- a/crates/stager/src/former_orders.rs
+++ b/crates/stager/src/former_orders.rs
@@ -120,7 +120,9 @@
             if let Some(verdict) = self.judge(shared) {
                 return verdict;
             }
-            for digests in digest_search::like(shared, &self.wanted.model, &self.digests).await {
+            for digests in
+                digest_search::versions_matching(shared, &self.wanted.model, &self.digests).await
+            {
                 shared.chunks.borrow_mut().keep_digests(&Rc::new(digests));
             }
             if let Some(verdict) = self.judge(shared) {
@@ -151,7 +153,9 @@
         let mut digests =
             WeightDigests { model: model.clone(), version: 0, chunks: self.digests.clone() };
         loop {
-            if let Some(version) = contents::version_of(shared, model, digests.content()).await {
+            if let Some(version) =
+                contents::version_of(shared, model, digests.content_digest()).await
+            {
                 digests.version = version;
                 return self.judge_whole(&Rc::new(digests));
             }
@@ -170,7 +174,7 @@
     }
 
     fn judge(&self, shared: &StagerShared) -> Option<StagedVerdict> {
-        let like = shared.chunks.borrow().digests_like(&self.wanted.model, &self.digests);
+        let like = shared.chunks.borrow().digests_matching(&self.wanted.model, &self.digests);
         if let Some(whole) = like.iter().find(|known| known.chunks == self.digests) {
             return Some(self.judge_whole(whole));
         }
@@ -180,7 +184,7 @@
         let is_spoilt = like.iter().any(|known| {
             let is_settled =
                 Some(known.version) == self.held || known.version == self.wanted.version;
-            is_settled && known.count_like(&self.digests) * 2 > self.digests.len()
+            is_settled && known.count_matching(&self.digests) * 2 > self.digests.len()
         });
         (is_mix || is_spoilt).then_some(StagedVerdict::NoneOpen)
     }
--- a/crates/stager/src/lib.rs
+++ b/crates/stager/src/lib.rs
@@ -35,7 +35,7 @@
 
 pub use crate::{
     dialect::{EngineCall, EngineDialect, EngineReport, OrderOutcome, WeightsOrder},
-    digest_search::OriginTurns,
+    digest_search::OriginSchedule,
     digests::WeightDigests,
     options::{StagerListeners, StagerOptions},
     order_fence::OrderFence,
--- a/crates/stager/src/older.rs
+++ b/crates/stager/src/older.rs
@@ -6,7 +6,7 @@
 //! completed from other agents; [`OlderVersionUse`] says when it is worth a switch.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     ranks,
     shared::{ReceivedPlan, StagerShared},
     switch,
@@ -42,9 +42,9 @@
     }
     let missing = {
         let mut chunks = shared.chunks.borrow_mut();
-        chunks.keep(&key);
+        chunks.set_aside(&key);
         let Some(weights) = chunks.get(&key) else { return };
-        weights.digests.count() - weights.held().count()
+        weights.digests.count() - weights.chunk_set().count()
     };
     tracing::info!(version = key.version, missing, "an overtaken version is kept");
     *shared.older.borrow_mut() =
@@ -58,7 +58,7 @@
     let transfer = {
         let chunks = shared.chunks.borrow();
         let Some(weights) = chunks.get(&key) else { return };
-        Transfer::from_peers(&shared, &overtaken.plan, weights)
+        Transfer::without_origin(&shared, &overtaken.plan, weights)
     };
     transfer.set_peers(&overtaken.peers);
     // The links are the newest version's for as long as its chunks keep coming.
@@ -88,7 +88,7 @@
     let Some(plan) = shared.plan.borrow().clone() else { return false };
     let chunks = shared.chunks.borrow();
     let expected =
-        chunks.get(&plan.key()).and_then(|weights| weights.expected_whole(Instant::now()));
+        chunks.get(&plan.key()).and_then(|weights| weights.time_to_complete(Instant::now()));
     expected.is_some() || plan.published_at.elapsed() < FIRST_CHUNKS
 }
 
@@ -102,11 +102,14 @@
         let Some(plan) = shared.plan.borrow().clone() else { continue };
         if is_done(&shared, &older, &plan) {
             *shared.older.borrow_mut() = None;
-            shared.chunks.borrow_mut().drop_older();
+            shared.chunks.borrow_mut().drop_superseded();
             continue;
         }
-        let whole =
-            shared.chunks.borrow().get(&older.key).is_some_and(|weights| weights.held().is_full());
+        let whole = shared
+            .chunks
+            .borrow()
+            .get(&older.key)
+            .is_some_and(|weights| weights.chunk_set().is_full());
         let rule = OlderVersionUse::new(shared.options.timing);
         if whole && rule.is_worth(&view(&shared, &older, &plan)) {
             tracing::info!(version = older.key.version, "the older version is taken meanwhile");
@@ -121,16 +124,19 @@
 
 /// Whether nothing is to be done with the older version any more.
 fn is_done(shared: &StagerShared, older: &OlderVersion, plan: &ReceivedPlan) -> bool {
-    let newest_is_here =
-        shared.chunks.borrow().get(&plan.key()).is_some_and(|weights| weights.held().is_full());
+    let newest_is_here = shared
+        .chunks
+        .borrow()
+        .get(&plan.key())
+        .is_some_and(|weights| weights.chunk_set().is_full());
     newest_is_here || plan.plan.model != older.key.model || switch::holds(shared, &older.key)
 }
 
 fn view(shared: &StagerShared, older: &OlderVersion, plan: &ReceivedPlan) -> OlderVersionView {
     let now = Instant::now();
-    let (rank, count) = ranks::rank(shared, plan);
+    let (rank, count) = ranks::rank_and_count(shared, plan);
     let chunks = shared.chunks.borrow();
-    let expected = |weights: &HeldWeights| weights.expected_whole(now);
+    let expected = |weights: &VersionChunks| weights.time_to_complete(now);
     OlderVersionView {
         since_named: now.saturating_duration_since(older.published_at),
         since_newest: now.saturating_duration_since(plan.published_at),
--- a/crates/stager/src/probe.rs
+++ b/crates/stager/src/probe.rs
@@ -30,7 +30,7 @@
 const ANSWER_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// Asks for as long as the agent lives, and lets entries know.
-pub(crate) async fn probe(shared: Weak<StagerShared>) {
+pub(crate) async fn run(shared: Weak<StagerShared>) {
     let Some(held) = shared.upgrade() else { return };
     let mut plan = held.plan.subscribe();
     drop(held);
--- a/crates/stager/src/ranks.rs
+++ b/crates/stager/src/ranks.rs
@@ -9,19 +9,22 @@
 use std::net::SocketAddr;
 
 /// This instance's place among those that take a version, if it is one of them yet.
-pub(crate) fn own_place(shared: &StagerShared, plan: &ReceivedPlan) -> Option<usize> {
+pub(crate) fn swarm_rank(shared: &StagerShared, plan: &ReceivedPlan) -> Option<usize> {
     let own = peer_name(shared.options.target);
-    let names = ranked(&plan.peers, plan.version());
+    let names = ranked_instances(&plan.peers, plan.version());
     names.iter().position(|(name, _)| *name == own)
 }
 
 /// This instance's turn to take a version, and how many there are.
-pub(crate) fn rank(shared: &StagerShared, plan: &ReceivedPlan) -> (usize, usize) {
-    (own_place(shared, plan).unwrap_or(0), plan.peers.len())
+pub(crate) fn rank_and_count(shared: &StagerShared, plan: &ReceivedPlan) -> (usize, usize) {
+    (swarm_rank(shared, plan).unwrap_or(0), plan.peers.len())
 }
 
 /// Instances in the order in which they take their turns, with their targets.
-pub(crate) fn ranked(peers: &[SwarmPeer], version: u64) -> Vec<(InstanceName, SocketAddr)> {
+pub(crate) fn ranked_instances(
+    peers: &[SwarmPeer],
+    version: u64,
+) -> Vec<(InstanceName, SocketAddr)> {
     let mut names: Vec<_> =
         peers.iter().map(|peer| (peer_name(peer.target), peer.target)).collect();
     names.sort_by_key(|(name, _)| order_of(name.as_str(), version));
--- a/crates/stager/src/runtime.rs
+++ b/crates/stager/src/runtime.rs
@@ -46,7 +46,7 @@
         actix_rt::spawn(engine::watch(Rc::downgrade(&shared)));
         actix_rt::spawn(follow::follow(Rc::downgrade(&shared)));
         actix_rt::spawn(loads::tell(Rc::downgrade(&shared)));
-        actix_rt::spawn(probe::probe(Rc::downgrade(&shared)));
+        actix_rt::spawn(probe::run(Rc::downgrade(&shared)));
         actix_rt::spawn(older::watch(Rc::downgrade(&shared)));
         actix_rt::spawn(switch::watch_open_orders(Rc::downgrade(&shared)));
         actix_rt::spawn(work::work(Rc::downgrade(&shared)));
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -1,7 +1,7 @@
 //! Having the engine take staged weights.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     contents,
     dialect::{OrderOutcome, WeightsOrder},
     engine, fencing, former_orders,
@@ -60,7 +60,7 @@
     if !is_resolved || !settle(shared, key, cut, drain_until).await {
         return false;
     }
-    let whole = shared.chunks.borrow().get(key).and_then(HeldWeights::whole);
+    let whole = shared.chunks.borrow().get(key).and_then(VersionChunks::complete);
     let Some(weights) = whole else { return false };
     stage_and_order(shared, &Rc::new(weights), cut, drain_until).await
 }
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -1,7 +1,7 @@
 //! Carrying out the planner's orders for one version.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     digests::WeightDigests,
     downloads::{ChunkSource, PartError},
     shared::{StagerShared, request},
@@ -70,16 +70,16 @@
     pub(crate) fn new(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
-        weights: &HeldWeights,
+        weights: &VersionChunks,
     ) -> Rc<Self> {
         Self::with_policy(shared, plan, weights, shared.options.planner)
     }
 
     /// The same without ever fetching from the origin.
-    pub(crate) fn from_peers(
+    pub(crate) fn without_origin(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
-        weights: &HeldWeights,
+        weights: &VersionChunks,
     ) -> Rc<Self> {
         let policy = PlannerPolicy { seeders: 0, ..shared.options.planner };
         Self::with_policy(shared, plan, weights, policy)
@@ -88,14 +88,15 @@
     fn with_policy(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
-        weights: &HeldWeights,
+        weights: &VersionChunks,
         policy: PlannerPolicy,
     ) -> Rc<Self> {
         let own = PlannerPeer {
             name: peer_name(shared.options.target),
             zone: shared.options.zone.clone(),
         };
-        let mut planner = SwarmPlanner::new(own, policy, weights.held().clone(), Duration::ZERO);
+        let mut planner =
+            SwarmPlanner::new(own, policy, weights.chunk_set().clone(), Duration::ZERO);
         planner.set_origin_zone(plan.origin_zone.clone());
         Rc::new(Self {
             shared: shared.clone(),
@@ -113,17 +114,17 @@
     }
 
     /// Chunks fetched from the origin so far.
-    pub(crate) fn fetched_from_origin(&self) -> u32 {
+    pub(crate) fn origin_chunks(&self) -> u32 {
         self.from_origin.get()
     }
 
     /// Time until the last of them was here.
-    pub(crate) fn origin_done_in(&self) -> Duration {
+    pub(crate) fn last_origin_chunk_after(&self) -> Duration {
         self.origin_done_at.get()
     }
 
     /// Chunks fetched from other availability zones so far.
-    pub(crate) fn across_zones(&self) -> u64 {
+    pub(crate) fn cross_zone_chunks(&self) -> u64 {
         self.planner.borrow().cross_zone_chunks()
     }
 
--- a/crates/stager/src/work.rs
+++ b/crates/stager/src/work.rs
@@ -1,7 +1,7 @@
 //! Bringing the plan about: digests, chunks, the engine's turn.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     digest_search, older, ranks,
     shared::{ReceivedPlan, StagerShared},
     staging, switch,
@@ -67,7 +67,8 @@
     if !known {
         begin(shared, key).await;
     }
-    let whole = shared.chunks.borrow().get(key).is_some_and(|weights| weights.held().is_full());
+    let whole =
+        shared.chunks.borrow().get(key).is_some_and(|weights| weights.chunk_set().is_full());
     if !whole {
         fetch(shared, wanted, key).await;
     }
@@ -88,7 +89,7 @@
 async fn begin(shared: &Rc<StagerShared>, key: &WeightsKey) {
     let digests = digest_search::find(shared, key).await;
     tracing::info!(version = key.version, chunks = digests.count(), "fetching a version");
-    let mut weights = HeldWeights::new(key.clone(), Rc::new(digests));
+    let mut weights = VersionChunks::new(key.clone(), Rc::new(digests));
     for index in 0..weights.digests.count() {
         let staged = staging::read_back(shared, key, index).await;
         match staged.filter(|bytes| weights.digests.matches(index, bytes)) {
@@ -98,10 +99,10 @@
             None => {}
         }
     }
-    if weights.held().is_full() && switch::holds(shared, key) {
+    if weights.chunk_set().is_full() && switch::holds(shared, key) {
         shared.previous_orders_known.set(true);
     }
-    shared.chunks.borrow_mut().begin(weights);
+    shared.chunks.borrow_mut().start_version(weights);
     shared.digests_added.send_modify(|count| *count += 1);
 }
 
@@ -139,9 +140,9 @@
     tracing::info!(
         version = key.version,
         millis = began.elapsed().as_millis() as u64,
-        from_origin = transfer.fetched_from_origin(),
-        origin_millis = transfer.origin_done_in().as_millis() as u64,
-        across_zones = transfer.across_zones(),
+        from_origin = transfer.origin_chunks(),
+        origin_millis = transfer.last_origin_chunk_after().as_millis() as u64,
+        across_zones = transfer.cross_zone_chunks(),
         "all chunks are here"
     );
 }
@@ -155,7 +156,7 @@
         version = key.version,
         "the digests match nobody's chunks; asking the origin anew"
     );
-    shared.chunks.borrow_mut().forget();
+    shared.chunks.borrow_mut().discard_current();
     shared.requires_origin_digests.set(true);
 }
 
@@ -165,7 +166,7 @@
     if !serves(shared, wanted) || wanted.plan.version.is_none() {
         return;
     }
-    let (rank, count) = ranks::rank(shared, wanted);
+    let (rank, count) = ranks::rank_and_count(shared, wanted);
     let due_from = due_from(shared, wanted);
     let turn = SwitchSchedule::new(shared.options.timing).turn(due_from.elapsed(), rank, count);
     tracing::info!(
--- a/tests/all/digest_turns.rs
+++ b/tests/all/digest_turns.rs
@@ -1,6 +1,6 @@
 //! When agents ask the origin for a version's digests.
 
-use egretseam_stager::OriginTurns;
+use egretseam_stager::OriginSchedule;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -17,13 +17,13 @@
 #[test]
 fn few_agents_ask_the_origin_however_long_it_is_gone() {
     let start = Instant::now();
-    let mut turns = vec![OriginTurns::new(start); AGENTS];
+    let mut turns = vec![OriginSchedule::new(start); AGENTS];
     let mut asked: Vec<(usize, Duration)> = Vec::new();
     let mut at = Duration::ZERO;
     while at < OUTAGE {
         for (rank, turns) in turns.iter_mut().enumerate() {
             if turns.is_due(rank, start + at) {
-                turns.note_asked(start + at);
+                turns.record_request(start + at);
                 asked.push((rank, at));
             }
         }
