--- a/tests/all/fleet/late_orders.rs
+++ b/tests/all/fleet/late_orders.rs
@@ -1,6 +1,6 @@
 //! Orders that get no answer and are carried out late.
 
-use super::{engines::ScriptedEngine, weights_bed::WeightsBed};
+use super::{engines::ScriptedEngine, weights_bed::WeightsFixture};
 use egretseam_platform::PlatformEngine;
 use egretseam_stager::{EngineDialect, OrderOutcome};
 use std::time::Duration;
@@ -8,12 +8,12 @@
 
 /// Has `engine` carry out its unanswered orders once all hold `version`, and checks that it goes on
 /// holding it.
-async fn carry_out_late(bed: &WeightsBed, engine: &ScriptedEngine, version: u64) {
-    bed.wait_for(version).await;
+async fn carry_out_late(bed: &WeightsFixture, engine: &ScriptedEngine, version: u64) {
+    bed.wait_until_loaded(version).await;
     assert!(engine.withheld_count() > 0, "no order was left unanswered");
     engine.carry_out_withheld();
     assert_eq!(engine.version.get(), version, "the engine went back");
-    bed.wait_for(version).await;
+    bed.wait_until_loaded(version).await;
 }
 
 /// Callers got streams, status 200 and whole, that an engine made with weights of another version than
@@ -25,12 +25,12 @@
 /// taken the weights` (version 3, 11.676 s) beside the entries' `target changed` (version 2, 12.124 s).
 #[actix_rt::test]
 async fn an_unanswered_order_is_not_carried_out_on_a_newer_versions_chunks() {
-    let bed = WeightsBed::start_before_an_overtaking().await;
+    let bed = WeightsFixture::start_before_superseding().await;
     let engine = bed.engines.iter().find(|engine| engine.version.get() == 1);
     let engine = engine.expect("one whose turn has not come").clone();
     engine.withhold.set(1);
-    bed.name(3).await;
-    bed.bed.wait_until(|| engine.withheld_count() == 1).await;
+    bed.publish(3).await;
+    bed.fleet.wait_until(|| engine.withheld_count() == 1).await;
     bed.origin.lost_from.set(None);
     carry_out_late(&bed, &engine, 3).await;
 }
@@ -39,8 +39,8 @@
 /// the answer to its order, and drops what it was doing for the older one.
 #[actix_rt::test]
 async fn an_order_that_a_newer_version_interrupts_is_not_carried_out_on_its_chunks() {
-    let (bed, engine) = WeightsBed::start_with_an_open_order(1).await;
-    bed.name(3).await;
+    let (bed, engine) = WeightsFixture::start_with_outstanding_order(1).await;
+    bed.publish(3).await;
     carry_out_late(&bed, &engine, 3).await;
 }
 
@@ -50,14 +50,14 @@
 /// gave nothing again before the newer version was here. An open order must be settled at once.
 #[actix_rt::test]
 async fn an_open_order_is_settled_while_the_newer_version_cannot_be_had() {
-    let (bed, engine) = WeightsBed::start_with_an_open_order(1).await;
+    let (bed, engine) = WeightsFixture::start_with_outstanding_order(1).await;
     bed.origin.lost_from.set(Some(3));
-    bed.name(3).await;
-    bed.wait_for(2).await;
+    bed.publish(3).await;
+    bed.wait_until_loaded(2).await;
     engine.spoil_staged(5);
     carry_out_late(&bed, &engine, 2).await;
     bed.origin.lost_from.set(None);
-    bed.wait_for(3).await;
+    bed.wait_until_loaded(3).await;
 }
 
 /// What users would see: engines that serve nobody for two seconds. An order gets no answer, and while
@@ -65,9 +65,9 @@
 /// is given within half a second.
 #[actix_rt::test]
 async fn an_unanswered_order_is_given_again_within_half_a_second() {
-    let (bed, _) = WeightsBed::start_with_an_open_order(1).await;
+    let (bed, _) = WeightsFixture::start_with_outstanding_order(1).await;
     let began = Instant::now();
-    bed.wait_for(2).await;
+    bed.wait_until_loaded(2).await;
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
 }
 
@@ -76,12 +76,12 @@
 /// named meanwhile over the chunks that the order speaks of, the engine carries that out.
 #[actix_rt::test]
 async fn an_agent_that_starts_again_knows_of_an_order_that_may_be_open() {
-    let (mut bed, engine) = WeightsBed::start_with_an_open_order(2).await;
-    bed.name(3).await;
+    let (mut bed, engine) = WeightsFixture::start_with_outstanding_order(2).await;
+    bed.publish(3).await;
     engine.carries_out_midway.set(true);
     bed.stop_agent(0);
-    bed.start_agent_again(0);
-    bed.wait_for(3).await;
+    bed.restart_agent(0);
+    bed.wait_until_loaded(3).await;
     assert_eq!(engine.withheld_count(), 0, "the order was not carried out midway");
 }
 
@@ -90,31 +90,31 @@
 /// before the wanted one. Other agents still know what it is.
 #[actix_rt::test]
 async fn an_agent_that_starts_again_learns_from_others_what_is_staged() {
-    let (mut bed, engine) = WeightsBed::start_with_an_open_order(2).await;
+    let (mut bed, engine) = WeightsFixture::start_with_outstanding_order(2).await;
     bed.stop_agent(0);
     for version in 3..=5 {
-        bed.name(version).await;
-        bed.bed.wait_until(|| bed.engines[1].version.get() == version).await;
+        bed.publish(version).await;
+        bed.fleet.wait_until(|| bed.engines[1].version.get() == version).await;
     }
     engine.carries_out_midway.set(true);
     let began = Instant::now();
-    bed.start_agent_again(0);
-    bed.wait_for(5).await;
+    bed.restart_agent(0);
+    bed.wait_until_loaded(5).await;
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
     assert_eq!(engine.withheld_count(), 0, "the order was not carried out midway");
 }
 
 /// Names versions 3 to 5 while the only agent is down and starts it again; its engine carries the open order
 /// out midway through the staging of the last.
-async fn start_again_behind_versions(bed: &mut WeightsBed, engine: &ScriptedEngine) {
+async fn start_again_behind_versions(bed: &mut WeightsFixture, engine: &ScriptedEngine) {
     bed.stop_agent(0);
     for version in 3..=5 {
-        bed.name(version).await;
+        bed.publish(version).await;
     }
     engine.carries_out_midway.set(true);
     let began = Instant::now();
-    bed.start_agent_again(0);
-    bed.wait_for(5).await;
+    bed.restart_agent(0);
+    bed.wait_until_loaded(5).await;
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
     assert_eq!(engine.withheld_count(), 0, "the order was not carried out midway");
 }
@@ -122,7 +122,7 @@
 /// Guards against mixed weights where nobody knows any more what a killed agent had staged and ordered.
 #[actix_rt::test]
 async fn an_order_of_a_killed_agent_is_refused_although_nobody_knows_its_version() {
-    let (mut bed, engine) = WeightsBed::start_with_an_open_order(1).await;
+    let (mut bed, engine) = WeightsFixture::start_with_outstanding_order(1).await;
     start_again_behind_versions(&mut bed, &engine).await;
 }
 
@@ -130,14 +130,14 @@
 /// control remembers of the version tells which order may be open.
 #[actix_rt::test]
 async fn an_empty_engines_order_is_settled_although_all_agents_were_killed() {
-    let mut bed = WeightsBed::start(1, true).await;
-    bed.wait_for(1).await;
+    let mut bed = WeightsFixture::start(1, true).await;
+    bed.wait_until_loaded(1).await;
     let engine = bed.engines[0].clone();
-    bed.name(2).await;
-    bed.wait_for(2).await;
+    bed.publish(2).await;
+    bed.wait_until_loaded(2).await;
     engine.withhold.set(1);
     engine.restart();
-    bed.bed.wait_until(|| engine.withheld_count() == 1).await;
+    bed.fleet.wait_until(|| engine.withheld_count() == 1).await;
     start_again_behind_versions(&mut bed, &engine).await;
 }
 
@@ -145,15 +145,15 @@
 /// late order can be taken for lost.
 #[actix_rt::test]
 async fn an_engine_that_compares_no_tokens_is_left_alone_while_an_order_may_be_open() {
-    let (mut bed, engine) = WeightsBed::start_with_an_open_order(1).await;
+    let (mut bed, engine) = WeightsFixture::start_with_outstanding_order(1).await;
     engine.ignores_tokens.set(true);
     bed.stop_agent(0);
     // Nobody can tell what is staged by its digest.
     engine.spoil_staged(5);
     for version in 3..=5 {
-        bed.name(version).await;
+        bed.publish(version).await;
     }
-    bed.start_agent_again(0);
+    bed.restart_agent(0);
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert!(engine.is_spoilt(5), "something was staged");
     assert_eq!(engine.version.get(), 1);
@@ -178,22 +178,22 @@
 async fn an_agent_that_starts_again_with_no_order_open_goes_on_at_once() {
     use StagedMeanwhile::{HalfReplaced, Sound, Spoilt};
     for staged in [Sound, Spoilt, HalfReplaced] {
-        let mut bed = WeightsBed::start(2, true).await;
-        bed.wait_for(1).await;
+        let mut bed = WeightsFixture::start(2, true).await;
+        bed.wait_until_loaded(1).await;
         let engine = bed.engines[0].clone();
         let orders = engine.modes.borrow().len();
         bed.stop_agent(0);
-        bed.name(2).await;
+        bed.publish(2).await;
         match staged {
             Sound => {}
             Spoilt => engine.spoil_staged(5),
             HalfReplaced => engine.stage_half(2),
         }
         // By then the other agent has dropped the chunks of the version before.
-        bed.bed.wait_until(|| bed.engines[1].version.get() == 2).await;
+        bed.fleet.wait_until(|| bed.engines[1].version.get() == 2).await;
         let began = Instant::now();
-        bed.start_agent_again(0);
-        bed.wait_for(2).await;
+        bed.restart_agent(0);
+        bed.wait_until_loaded(2).await;
         assert!(began.elapsed() < Duration::from_secs(3), "{staged:?}: {:?}", began.elapsed());
         assert_eq!(engine.modes.borrow().len(), orders + 1, "{staged:?}: orders for version 2");
     }
--- a/tests/all/fleet/narrow_link.rs
+++ b/tests/all/fleet/narrow_link.rs
@@ -80,13 +80,13 @@
 
 /// A control member that names the other agents and notes what the agent says of its link.
 #[derive(Clone)]
-pub(super) struct PlanningMember {
+pub(super) struct FakeControlMember {
     origin: SocketAddr,
     peers: Vec<SwarmPeer>,
     link_delay: Rc<Cell<Option<u64>>>,
 }
 
-impl PlanningMember {
+impl FakeControlMember {
     /// Starts to answer; returns where, besides.
     pub(super) fn start(
         origin: SocketAddr,
@@ -112,7 +112,7 @@
     }
 }
 
-impl FeedService for PlanningMember {
+impl FeedService for FakeControlMember {
     async fn feed(self, _: Context, _: FeedCall) -> FeedReply {
         unreachable!("no entry asks")
     }
@@ -253,7 +253,8 @@
     let secret = PeerSecret::derive("a token of the test");
     let (origin, origin_address) = ScriptedOrigin::start(host(19)).await;
     origin.chunk_bytes.set(CHUNK_BYTES);
-    let serve = |peers, number| PlanningMember::start(origin_address, peers, host(number), secret);
+    let serve =
+        |peers, number| FakeControlMember::start(origin_address, peers, host(number), secret);
     let port = free_port(host(11));
     let (_, _holders_control, seed) = serve(Vec::new(), 11);
     let (_, _holder) = start_agent(host(11), port, &seed, secret, PlannerPolicy::default()).await;
@@ -285,7 +286,7 @@
     let (port, _others) = start_others(&delay, secret);
     let peers = (2..2 + OTHERS).map(peer).collect();
     let origin = SocketAddr::new(host(9), 1);
-    let (member, _control, seed) = PlanningMember::start(origin, peers, host(1), secret);
+    let (member, _control, seed) = FakeControlMember::start(origin, peers, host(1), secret);
     let planner = PlannerPolicy::default();
     let (engine, _agent) = start_agent(host(1), port, &seed, secret, planner).await;
     engine.version.set(1);
--- a/tests/all/fleet/order_storm.rs
+++ b/tests/all/fleet/order_storm.rs
@@ -1,7 +1,7 @@
 //! Engines that carry orders out when they like, agents and engines that start again, versions in
 //! quick succession: a seeded run against real agents.
 
-use super::{engines::ScriptedEngine, weights_bed::WeightsBed};
+use super::{engines::ScriptedEngine, weights_bed::WeightsFixture};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 use std::{rc::Rc, time::Duration};
 
@@ -25,7 +25,7 @@
 }
 
 struct OrderStorm {
-    bed: WeightsBed,
+    bed: WeightsFixture,
     random: StdRng,
     newest: u64,
     agent_runs: [bool; ENGINES],
@@ -33,8 +33,8 @@
 
 impl OrderStorm {
     async fn start(seed: u64) -> Self {
-        let bed = WeightsBed::start(ENGINES, true).await;
-        bed.wait_for(1).await;
+        let bed = WeightsFixture::start(ENGINES, true).await;
+        bed.wait_until_loaded(1).await;
         let random = StdRng::seed_from_u64(seed);
         Self { bed, random, newest: 1, agent_runs: [true; ENGINES] }
     }
@@ -44,7 +44,7 @@
             self.happen().await;
             let pause = self.random.random_range(0..MOST_PAUSE_MILLIS);
             tokio::time::sleep(Duration::from_millis(pause)).await;
-            self.bed.check_whole();
+            self.bed.assert_complete_loads();
         }
     }
 
@@ -54,7 +54,7 @@
         match self.random.random_range(0..12) {
             0..=2 => {
                 self.newest += 1;
-                self.bed.name(self.newest).await;
+                self.bed.publish(self.newest).await;
             }
             3..=5 => engine.withhold.set(engine.withhold.get() + 1),
             6..=7 => engine.carry_out_withheld(),
@@ -72,7 +72,7 @@
         if self.agent_runs[at] {
             self.bed.stop_agent(at);
         } else {
-            self.bed.start_agent_again(at);
+            self.bed.restart_agent(at);
         }
         self.agent_runs[at] = !self.agent_runs[at];
     }
@@ -87,10 +87,10 @@
                 self.stop_or_start_agent(at);
             }
         }
-        self.bed.wait_for(self.newest).await;
+        self.bed.wait_until_loaded(self.newest).await;
         let carry_out = |engine: &Rc<ScriptedEngine>| engine.carry_out_withheld();
         self.bed.engines.iter().for_each(carry_out);
-        self.bed.wait_for(self.newest).await;
+        self.bed.wait_until_loaded(self.newest).await;
     }
 }
 
--- a/tests/all/fleet/receipts.rs
+++ b/tests/all/fleet/receipts.rs
@@ -1,6 +1,6 @@
 //! Agents that acknowledge what they fetch.
 
-use super::narrow_link::{PlanningMember, free_port, host, peer, start_agent, wait_until};
+use super::narrow_link::{FakeControlMember, free_port, host, peer, start_agent, wait_until};
 use bytes::Bytes;
 use egretseam_proto::ModelName;
 use egretseam_rpc::{
@@ -101,7 +101,7 @@
     }
     let peers = hosts.map(peer).to_vec();
     let origin = SocketAddr::new(host(39), 1);
-    let (_, _control, seed) = PlanningMember::start(origin, peers, host(33), secret);
+    let (_, _control, seed) = FakeControlMember::start(origin, peers, host(33), secret);
     let planner = PlannerPolicy { seeders: 0, fetches_per_peer: 1, ..PlannerPolicy::default() };
     let (_, _fetcher) = start_agent(host(33), port, &seed, secret, planner).await;
     wait_until(|| givers.iter().all(|giver| *giver.count.borrow() > 0)).await;
--- a/tests/all/fleet/weights_bed.rs
+++ b/tests/all/fleet/weights_bed.rs
@@ -11,8 +11,8 @@
 use serde_json::{Value, json};
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
-pub(super) struct WeightsBed {
-    pub(super) bed: FleetBed,
+pub(super) struct WeightsFixture {
+    pub(super) fleet: FleetBed,
     pub(super) origin: Rc<ScriptedOrigin>,
     pub(super) engines: Vec<Rc<ScriptedEngine>>,
     targets: Vec<SocketAddr>,
@@ -32,15 +32,15 @@
     config
 }
 
-impl WeightsBed {
+impl WeightsFixture {
     /// Starts so many engines with agents. Before a version is named they bring version 1.
     pub(super) async fn start(count: usize, resumable: bool) -> Self {
-        let mut bed = FleetBed::start().await;
-        let (origin, address) = ScriptedOrigin::start(bed.host()).await;
+        let mut fleet = FleetBed::start().await;
+        let (origin, address) = ScriptedOrigin::start(fleet.host()).await;
         let mut this =
-            Self { bed, origin, engines: Vec::new(), targets: Vec::new(), agents: Vec::new() };
-        this.bed.replace(2, &config(address, resumable)).await;
-        this.bed.wait_for_version(2).await;
+            Self { fleet, origin, engines: Vec::new(), targets: Vec::new(), agents: Vec::new() };
+        this.fleet.replace(2, &config(address, resumable)).await;
+        this.fleet.wait_for_version(2).await;
         for _ in 0..count {
             this.add().await;
         }
@@ -49,42 +49,42 @@
 
     /// Starts three engines that take their turns. Version 2 is here whole, the first of them may hold
     /// it, and version 3 will not be had.
-    pub(super) async fn start_before_an_overtaking() -> Self {
+    pub(super) async fn start_before_superseding() -> Self {
         let mut this = Self::start(0, true).await;
-        this.bed.settings.version_limit = Duration::from_secs(8);
+        this.fleet.settings.version_limit = Duration::from_secs(8);
         for _ in 0..3 {
             this.add().await;
         }
-        this.wait_for(1).await;
+        this.wait_until_loaded(1).await;
         this.origin.lost_from.set(Some(3));
         let drawn = this.origin.given.get();
-        this.name(2).await;
-        this.bed.wait_until(|| this.origin.given.get() >= drawn + CHUNKS).await;
+        this.publish(2).await;
+        this.fleet.wait_until(|| this.origin.given.get() >= drawn + CHUNKS).await;
         // Far enough apart that the overtaken version's use is worth a switch.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         this
     }
 
     /// Starts so many engines, the first of which leaves its order for version 2 unanswered.
-    pub(super) async fn start_with_an_open_order(count: usize) -> (Self, Rc<ScriptedEngine>) {
+    pub(super) async fn start_with_outstanding_order(count: usize) -> (Self, Rc<ScriptedEngine>) {
         let this = Self::start(count, true).await;
-        this.wait_for(1).await;
+        this.wait_until_loaded(1).await;
         let engine = this.engines[0].clone();
         engine.withhold.set(1);
-        this.name(2).await;
-        this.bed.wait_until(|| engine.withheld_count() == 1).await;
+        this.publish(2).await;
+        this.fleet.wait_until(|| engine.withheld_count() == 1).await;
         (this, engine)
     }
 
     pub(super) async fn add(&mut self) {
-        let host = self.bed.host();
+        let host = self.fleet.host();
         let (engine, target) = ScriptedEngine::start(host).await;
         self.add_at(engine, target).await;
     }
 
     /// Address of a target that does not answer yet.
     pub(super) async fn unused_target(&mut self) -> SocketAddr {
-        let host = self.bed.host();
+        let host = self.fleet.host();
         let listener = tokio::net::TcpListener::bind((host, 0)).await.expect("a free port");
         listener.local_addr().expect("bound")
     }
@@ -104,7 +104,7 @@
     }
 
     /// Starts it again.
-    pub(super) fn start_agent_again(&mut self, index: usize) {
+    pub(super) fn restart_agent(&mut self, index: usize) {
         self.agents[index] = Some(self.start_agent(self.targets[index]));
     }
 
@@ -114,7 +114,7 @@
             "state": "ready", "coldLeftMs": 0, "models": [], "seq": 1
         });
         let path = format!("/instances/e-{}/heartbeat", target.ip());
-        assert_eq!(self.bed.call("POST", &path, &beat.to_string()).await.0, 200);
+        assert_eq!(self.fleet.call("POST", &path, &beat.to_string()).await.0, 200);
     }
 
     /// Starts an agent on a thread of its own, so that it can be ended as a kill ends a process.
@@ -126,7 +126,7 @@
                 target_address: target,
                 service: ServiceName::try_from("runners").expect("a valid name"),
             }),
-            ..self.bed.settings.clone()
+            ..self.fleet.settings.clone()
         };
         let arbiter = Arbiter::new();
         arbiter.spawn_fn(move || {
@@ -139,19 +139,19 @@
         arbiter
     }
 
-    pub(super) async fn name(&self, version: u64) {
+    pub(super) async fn publish(&self, version: u64) {
         let body = json!({"model": "chat", "version": version}).to_string();
-        assert_eq!(self.bed.call("POST", "/version-put", &body).await.0, 200);
+        assert_eq!(self.fleet.call("POST", "/version-put", &body).await.0, 200);
     }
 
-    pub(super) async fn wait_for(&self, version: u64) {
+    pub(super) async fn wait_until_loaded(&self, version: u64) {
         let all_hold = || self.engines.iter().all(|engine| engine.version.get() == version);
-        self.bed.wait_until(all_hold).await;
-        self.check_whole();
+        self.fleet.wait_until(all_hold).await;
+        self.assert_complete_loads();
     }
 
     /// Checks that no engine has taken weights that were not whole.
-    pub(super) fn check_whole(&self) {
+    pub(super) fn assert_complete_loads(&self) {
         for engine in &self.engines {
             let bad = engine.bad_orders.get();
             assert_eq!(
@@ -164,7 +164,7 @@
     }
 }
 
-impl Drop for WeightsBed {
+impl Drop for WeightsFixture {
     fn drop(&mut self) {
         for agent in self.agents.iter().flatten() {
             agent.stop();
