--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -211,7 +211,7 @@
         // Either more chunks came or the wait is over; both are answered with what there is.
         let _ = tokio::time::timeout(wait, more).await;
         let chunks = self.shared.chunks.borrow();
-        let origin_lost = self.shared.origin_lost.get();
+        let origin_lost = self.shared.origin_unreachable.get();
         Some(HeldReply { chunks: chunks.get(&key)?.chunk_set().to_text(), origin_lost })
     }
 
--- a/crates/stager/src/contents.rs
+++ b/crates/stager/src/contents.rs
@@ -20,12 +20,12 @@
 /// new weights during an outage.
 pub(crate) async fn note(shared: &StagerShared, digests: &WeightDigests) {
     let key = digests.key();
-    if shared.noted_content.borrow().as_ref() == Some(&key) {
+    if shared.recorded_content.borrow().as_ref() == Some(&key) {
         return;
     }
     let Some(member) = member_link(shared) else { return };
     match member.note_content(key.clone(), digests.content_digest()).await {
-        Ok(true) => *shared.noted_content.borrow_mut() = Some(key),
+        Ok(true) => *shared.recorded_content.borrow_mut() = Some(key),
         Ok(false) => {
             tracing::info!(
                 version = key.version,
--- a/crates/stager/src/follow.rs
+++ b/crates/stager/src/follow.rs
@@ -159,8 +159,8 @@
         let published_at = same.map_or(told_at, |held| held.published_at.min(told_at));
         tracing::info!(?version, peers = peers.len(), "plan changed");
         let unmet = held.as_ref().filter(|held| !switch::holds(shared, &held.key()));
-        let deadline_start =
-            unmet.map_or(published_at, |held| held.deadline_start.min(published_at));
-        *held = Some(ReceivedPlan { plan, peers, published_at, deadline_start });
+        let staleness_start =
+            unmet.map_or(published_at, |held| held.staleness_start.min(published_at));
+        *held = Some(ReceivedPlan { plan, peers, published_at, staleness_start });
     });
 }
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -85,7 +85,7 @@
     pub(crate) published_at: Instant,
     /// When the oldest version was named that the engine has not reached yet: its bound comes
     /// first, and any newer version keeps it.
-    pub(crate) deadline_start: Instant,
+    pub(crate) staleness_start: Instant,
 }
 
 impl ReceivedPlan {
@@ -132,7 +132,7 @@
     /// Tokens of this agent's orders.
     pub(crate) fence: RefCell<OrderFence>,
     /// The last version whose content control has noted at this agent's word.
-    pub(crate) noted_content: RefCell<Option<WeightsKey>>,
+    pub(crate) recorded_content: RefCell<Option<WeightsKey>>,
     /// Whether the ledger holds what the agent before this one may have left open.
     pub(crate) previous_orders_known: Cell<bool>,
     pub(crate) started_at: Instant,
@@ -145,7 +145,7 @@
     /// How long entries were told that requests are on their way over it.
     told_delay: Cell<Duration>,
     /// Whether the origin did not answer when this agent last fetched from it.
-    pub(crate) origin_lost: Cell<bool>,
+    pub(crate) origin_unreachable: Cell<bool>,
     /// Bounds what is fetched from other agents, so that live requests get through.
     pub(crate) downloads: PartDownloads,
     /// The same for what is given to them.
@@ -178,14 +178,14 @@
             switching: Mutex::new(()),
             orders: RefCell::default(),
             fence: RefCell::new(OrderFence::new(since_epoch())),
-            noted_content: RefCell::default(),
+            recorded_content: RefCell::default(),
             previous_orders_known: Cell::new(false),
             started_at: Instant::now(),
             requires_origin_digests: Cell::new(false),
             stalled: Cell::new(false),
             path: RefCell::default(),
             told_delay: Cell::new(Duration::ZERO),
-            origin_lost: Cell::new(false),
+            origin_unreachable: Cell::new(false),
             downloads: PartDownloads::new(options.upload_bytes_per_second),
             uploads: PartUploads::new(options.upload_bytes_per_second),
             engine: Mutex::new(KeptClient::new(options.target)),
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -253,7 +253,7 @@
 
     /// One line when the origin is lost and one when it is back.
     fn note_origin(&self, answers: bool) {
-        if self.shared.origin_lost.replace(!answers) == answers {
+        if self.shared.origin_unreachable.replace(!answers) == answers {
             tracing::info!(answers, version = self.key.version, "the origin of weights");
         }
     }
--- a/crates/stager/src/work.rs
+++ b/crates/stager/src/work.rs
@@ -190,7 +190,7 @@
 fn due_from(shared: &StagerShared, wanted: &ReceivedPlan) -> Instant {
     let older = shared.superseded_loaded.borrow();
     let reached = older.as_ref().is_some_and(|older| {
-        older.key.model == wanted.plan.model && older.published_at >= wanted.deadline_start
+        older.key.model == wanted.plan.model && older.published_at >= wanted.staleness_start
     });
-    if reached { wanted.published_at } else { wanted.deadline_start }
+    if reached { wanted.published_at } else { wanted.staleness_start }
 }
