--- a/crates/stager/src/older.rs
+++ b/crates/stager/src/older.rs
@@ -6,9 +6,9 @@
 //! completed from other agents; [`OlderVersionPolicy`] says when it is worth a switch.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     ranks,
-    shared::{HeldPlan, StagerShared},
+    shared::{ReceivedPlan, StagerShared},
     switch,
     transfer::Transfer,
     work,
@@ -30,35 +30,35 @@
 #[derive(Clone, Debug)]
 pub(crate) struct OlderVersion {
     pub(crate) key: WeightsKey,
-    pub(crate) named_at: Instant,
+    pub(crate) published_at: Instant,
 }
 
 /// Keeps a version that is overtaken by a newer one, and fetches what is missing of it from other
 /// agents. The origin is left to the newer one.
-pub(crate) fn keep(shared: &Rc<StagerShared>, overtaken: &HeldPlan) {
+pub(crate) fn keep(shared: &Rc<StagerShared>, overtaken: &ReceivedPlan) {
     let key = overtaken.key();
     if !shared.options.finishes_older || switch::holds(shared, &key) {
         return;
     }
     let missing = {
         let mut chunks = shared.chunks.borrow_mut();
-        chunks.keep(&key);
+        chunks.set_aside(&key);
         let Some(weights) = chunks.get(&key) else { return };
-        weights.digests.count() - weights.held().count()
+        weights.digests.count() - weights.chunk_set().count()
     };
     tracing::info!(version = key.version, missing, "an overtaken version is kept");
     *shared.older.borrow_mut() =
-        Some(OlderVersion { key: key.clone(), named_at: overtaken.named_at });
+        Some(OlderVersion { key: key.clone(), published_at: overtaken.published_at });
     if missing > 0 {
         actix_rt::spawn(complete(shared.clone(), overtaken.clone(), key));
     }
 }
 
-async fn complete(shared: Rc<StagerShared>, overtaken: HeldPlan, key: WeightsKey) {
+async fn complete(shared: Rc<StagerShared>, overtaken: ReceivedPlan, key: WeightsKey) {
     let transfer = {
         let chunks = shared.chunks.borrow();
         let Some(weights) = chunks.get(&key) else { return };
-        Transfer::from_peers(&shared, &overtaken.plan, weights)
+        Transfer::without_origin(&shared, &overtaken.plan, weights)
     };
     transfer.set_peers(&overtaken.peers);
     // The links are the newest version's for as long as its chunks keep coming.
@@ -88,8 +88,8 @@
     let Some(plan) = shared.plan.borrow().clone() else { return false };
     let chunks = shared.chunks.borrow();
     let expected =
-        chunks.get(&plan.key()).and_then(|weights| weights.expected_whole(Instant::now()));
-    expected.is_some() || plan.named_at.elapsed() < FIRST_CHUNKS
+        chunks.get(&plan.key()).and_then(|weights| weights.time_to_complete(Instant::now()));
+    expected.is_some() || plan.published_at.elapsed() < FIRST_CHUNKS
 }
 
 /// Has the engine take the older version when that is worth it, for as long as the agent lives.
@@ -97,44 +97,50 @@
     loop {
         tokio::time::sleep(LOOK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
-        shared.note_stalled(is_stalled(&shared));
+        shared.set_stalled(is_stalled(&shared));
         let Some(older) = shared.older.borrow().clone() else { continue };
         let Some(plan) = shared.plan.borrow().clone() else { continue };
         if is_done(&shared, &older, &plan) {
             *shared.older.borrow_mut() = None;
-            shared.chunks.borrow_mut().drop_older();
+            shared.chunks.borrow_mut().drop_superseded();
             continue;
         }
-        let whole =
-            shared.chunks.borrow().get(&older.key).is_some_and(|weights| weights.held().is_full());
+        let whole = shared
+            .chunks
+            .borrow()
+            .get(&older.key)
+            .is_some_and(|weights| weights.chunk_set().is_full());
         let rule = OlderVersionPolicy::new(shared.options.switch_timing);
         if whole && rule.should_switch(&view(&shared, &older, &plan)) {
             tracing::info!(version = older.key.version, "the older version is taken meanwhile");
             let timing = shared.options.switch_timing;
             let drain_until =
-                older.named_at + timing.staleness_bound.saturating_sub(timing.reserve / 2);
+                older.published_at + timing.staleness_bound.saturating_sub(timing.reserve / 2);
             if switch::take(&shared, &older.key, plan.plan.may_cut, drain_until).await {
-                *shared.reached.borrow_mut() = Some(older);
+                *shared.superseded_loaded.borrow_mut() = Some(older);
             }
         }
     }
 }
 
 /// Whether nothing is to be done with the older version any more.
-fn is_done(shared: &StagerShared, older: &OlderVersion, plan: &HeldPlan) -> bool {
-    let newest_is_here =
-        shared.chunks.borrow().get(&plan.key()).is_some_and(|weights| weights.held().is_full());
+fn is_done(shared: &StagerShared, older: &OlderVersion, plan: &ReceivedPlan) -> bool {
+    let newest_is_here = shared
+        .chunks
+        .borrow()
+        .get(&plan.key())
+        .is_some_and(|weights| weights.chunk_set().is_full());
     newest_is_here || plan.plan.model != older.key.model || switch::holds(shared, &older.key)
 }
 
-fn view(shared: &StagerShared, older: &OlderVersion, plan: &HeldPlan) -> OlderVersionState {
+fn view(shared: &StagerShared, older: &OlderVersion, plan: &ReceivedPlan) -> OlderVersionState {
     let now = Instant::now();
-    let (rank, count) = ranks::rank(shared, plan);
+    let (rank, count) = ranks::rank_and_count(shared, plan);
     let chunks = shared.chunks.borrow();
-    let expected = |weights: &HeldWeights| weights.expected_whole(now);
+    let expected = |weights: &VersionChunks| weights.time_to_complete(now);
     OlderVersionState {
-        since_published: now.saturating_duration_since(older.named_at),
-        since_newest_published: now.saturating_duration_since(plan.named_at),
+        since_published: now.saturating_duration_since(older.published_at),
+        since_newest_published: now.saturating_duration_since(plan.published_at),
         newest_complete_in: chunks.get(&plan.key()).and_then(expected),
         serves: work::serves(shared, plan),
         rank,
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -1,7 +1,7 @@
 //! Carrying out the planner's orders for one version.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     digests::WeightDigests,
     downloads::{ChunkSource, PartError},
     shared::{StagerShared, request},
@@ -70,16 +70,16 @@
     pub(crate) fn new(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
-        weights: &HeldWeights,
+        weights: &VersionChunks,
     ) -> Rc<Self> {
         Self::with_policy(shared, plan, weights, shared.options.planner)
     }
 
     /// The same without ever fetching from the origin.
-    pub(crate) fn from_peers(
+    pub(crate) fn without_origin(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
-        weights: &HeldWeights,
+        weights: &VersionChunks,
     ) -> Rc<Self> {
         let policy = PlannerPolicy { max_seeders: 0, ..shared.options.planner };
         Self::with_policy(shared, plan, weights, policy)
@@ -88,14 +88,15 @@
     fn with_policy(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
-        weights: &HeldWeights,
+        weights: &VersionChunks,
         policy: PlannerPolicy,
     ) -> Rc<Self> {
         let own = PlannerPeer {
             name: peer_name(shared.options.target),
             zone: shared.options.zone.clone(),
         };
-        let mut planner = SwarmPlanner::new(own, policy, weights.held().clone(), Duration::ZERO);
+        let mut planner =
+            SwarmPlanner::new(own, policy, weights.chunk_set().clone(), Duration::ZERO);
         planner.set_origin_zone(plan.origin_zone.clone());
         Rc::new(Self {
             shared: shared.clone(),
@@ -113,17 +114,17 @@
     }
 
     /// Chunks fetched from the origin so far.
-    pub(crate) fn fetched_from_origin(&self) -> u32 {
+    pub(crate) fn origin_chunks(&self) -> u32 {
         self.from_origin.get()
     }
 
     /// Time until the last of them was here.
-    pub(crate) fn origin_done_in(&self) -> Duration {
+    pub(crate) fn last_origin_chunk_after(&self) -> Duration {
         self.origin_done_at.get()
     }
 
     /// Chunks fetched from other availability zones so far.
-    pub(crate) fn across_zones(&self) -> u64 {
+    pub(crate) fn cross_zone_chunks(&self) -> u64 {
         self.planner.borrow().cross_zone_chunks()
     }
 
@@ -181,7 +182,7 @@
                 () = self.wake.notified() => {}
                 () = tokio::time::sleep(PLAN_INTERVAL) => {}
             }
-            self.shared.heed_link();
+            self.shared.adapt_to_link();
             if self.wrong.borrow().values().any(|count| *count >= WRONG_DIGEST) {
                 return false;
             }
@@ -234,7 +235,7 @@
                 let (key, chunk) = (&self.key, order.chunk);
                 let source = ChunkSource { link: &link, is_near, key, chunk };
                 let answer = self.shared.downloads.chunk(&source).await;
-                self.shared.heed_link();
+                self.shared.adapt_to_link();
                 match answer {
                     Ok(chunk) => {
                         self.planner.borrow_mut().record_queue_delay(name, chunk.queued);
@@ -252,7 +253,7 @@
 
     /// One line when the origin is lost and one when it is back.
     fn note_origin(&self, answers: bool) {
-        if self.shared.origin_lost.replace(!answers) == answers {
+        if self.shared.origin_unreachable.replace(!answers) == answers {
             tracing::info!(answers, version = self.key.version, "the origin of weights");
         }
     }
