--- a/crates/stager/src/work.rs
+++ b/crates/stager/src/work.rs
@@ -169,8 +169,11 @@
     }
     let (rank, count) = ranks::rank_and_count(shared, wanted);
     let due_from = due_from(shared, wanted);
-    let turn =
-        SwitchSchedule::new(shared.options.switch_timing).switch_offset(due_from.elapsed(), rank, count);
+    let turn = SwitchSchedule::new(shared.options.switch_timing).switch_offset(
+        due_from.elapsed(),
+        rank,
+        count,
+    );
     tracing::info!(
         rank,
         of = count,
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -4,21 +4,9 @@
 use crate::batch_engine::{BatchEngine, EngineEvent, EngineModel};
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AttemptOutcome,
-    EngineStatus,
-    HeldModel,
-    Incarnation,
-    PlacementOutcome,
-    PlacementPolicy,
-    PlacementQuery,
-    TargetId,
-    TargetRecord,
-    TargetState,
-    TargetStatus,
-    TargetTable,
-    WaitPolicy,
-    WaitQueue,
-    WaitUrgency,
+    AttemptOutcome, EngineStatus, HeldModel, Incarnation, PlacementOutcome, PlacementPolicy,
+    PlacementQuery, TargetId, TargetRecord, TargetState, TargetStatus, TargetTable, WaitPolicy,
+    WaitQueue, WaitUrgency,
 };
 use indexmap::{IndexMap, IndexSet};
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
--- a/tests/all/incarnations.rs
+++ b/tests/all/incarnations.rs
@@ -3,12 +3,7 @@
 use crate::serving_tables::{choose, held, news};
 use egretseam_proto::{ServiceName, ZoneName};
 use egretseam_serving::{
-    AnnounceOutcome,
-    AttemptOutcome,
-    EngineStatus,
-    Incarnation,
-    LeaveOutcome,
-    PlacementOutcome,
+    AnnounceOutcome, AttemptOutcome, EngineStatus, Incarnation, LeaveOutcome, PlacementOutcome,
     PlacementPolicy, TargetId, TargetRecord, TargetRegistry, TargetState, TargetTable,
 };
 use proptest::prelude::*;
--- a/tests/all/serving_tables.rs
+++ b/tests/all/serving_tables.rs
@@ -2,23 +2,9 @@
 
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AnnounceOutcome,
-    AttemptOutcome,
-    EngineStatus,
-    EntryRecord,
-    EntryRoster,
-    HeldModel,
-    Incarnation,
-    PlacementOutcome,
-    PlacementPolicy,
-    PlacementQuery,
-    RosterBatcher,
-    TargetId,
-    TargetRecord,
-    TargetRegistry,
-    TargetState,
-    TargetStatus,
-    TargetTable,
+    AnnounceOutcome, AttemptOutcome, EngineStatus, EntryRecord, EntryRoster, HeldModel,
+    Incarnation, PlacementOutcome, PlacementPolicy, PlacementQuery, RosterBatcher, TargetId,
+    TargetRecord, TargetRegistry, TargetState, TargetStatus, TargetTable,
 };
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
--- a/tests/all/versions.rs
+++ b/tests/all/versions.rs
@@ -2,16 +2,8 @@
 
 use crate::serving_tables::{address, choose, held, id, model, news, record, service, table};
 use egretseam_serving::{
-    AttemptOutcome,
-    EngineStatus,
-    Incarnation,
-    OlderVersionPolicy,
-    OlderVersionState,
-    PlacementOutcome,
-    PublishedVersion,
-    SwitchSchedule,
-    SwitchTiming,
-    TargetState,
+    AttemptOutcome, EngineStatus, Incarnation, OlderVersionPolicy, OlderVersionState,
+    PlacementOutcome, PublishedVersion, SwitchSchedule, SwitchTiming, TargetState,
 };
 use egretseam_swarm::ChunkPace;
 use std::time::Duration;
