--- a/crates/control/src/runtime.rs
+++ b/crates/control/src/runtime.rs
@@ -66,7 +66,7 @@
 impl GroupFormation {
     /// Initialises an empty folder as a member that the group does not know.
     pub(crate) fn initialise_joining(&self, options: &ControlOptions) -> Result<(), StoreError> {
-        let identity = LogStore::join(&options.folder, MemberId(rand::random()))?;
+        let identity = LogStore::init_joining(&options.folder, MemberId(rand::random()))?;
         tracing::info!(id = %identity.id, "initialised a data folder to join the group");
         Ok(())
     }
@@ -97,9 +97,9 @@
             };
             let group = founders.iter().map(|address| founder_id(address).0);
             let group = GroupId(group.fold(1, u64::wrapping_add));
-            let membership = Membership::founding_group(founders.iter().map(record).collect());
+            let membership = Membership::of_voters(founders.iter().map(record).collect());
             let id = founder_id(&options.peer_address);
-            LogStore::found_group(&options.folder, id, group, membership)
+            LogStore::bootstrap_group(&options.folder, id, group, membership)
         };
         match result {
             Ok(identity) => {
--- a/crates/local/src/cluster/setup.rs
+++ b/crates/local/src/cluster/setup.rs
@@ -22,9 +22,9 @@
             let folder = self.folder.path().join(&name);
             let id = MemberId(rand::random());
             if number == 0 {
-                LogStore::found(&folder, id, GroupId(rand::random()), &name, peer)?;
+                LogStore::bootstrap(&folder, id, GroupId(rand::random()), &name, peer)?;
             } else {
-                LogStore::join(&folder, id)?;
+                LogStore::init_joining(&folder, id)?;
             }
             identities.push(id);
             let settings = json!({
--- a/crates/replica/src/log_table.rs
+++ b/crates/replica/src/log_table.rs
@@ -69,7 +69,7 @@
     }
 
     /// Entries from `from` on, up to `max_bytes` but at least one.
-    pub(crate) fn slice(&self, from: LogIndex, max_bytes: usize) -> Vec<LogEntry> {
+    pub(crate) fn entries_from(&self, from: LogIndex, max_bytes: usize) -> Vec<LogEntry> {
         let mut taken = Vec::new();
         let mut bytes = 0;
         let mut index = from;
@@ -105,7 +105,7 @@
 
     /// Replaces everything up to `image.index` by the image. Entries behind it stay if they
     /// continue it, else the log holds nothing but the image.
-    pub(crate) fn install(&mut self, image: SnapshotImage) -> bool {
+    pub(crate) fn install_snapshot(&mut self, image: SnapshotImage) -> bool {
         let keep_tail = self.term_at(image.index) == Some(image.term);
         if keep_tail {
             let covered = image.index.0 - self.snapshot.index.0;
--- a/crates/replica/src/membership.rs
+++ b/crates/replica/src/membership.rs
@@ -56,7 +56,7 @@
 
 impl Membership {
     /// A group of one voter.
-    pub fn founding(mut record: MemberRecord) -> Self {
+    pub fn single_voter(mut record: MemberRecord) -> Self {
         record.voter = true;
         let mut membership = Self::default();
         membership.members.insert(record.id, record);
@@ -64,7 +64,7 @@
     }
 
     /// A group of several voters that all begin with the same empty log.
-    pub fn founding_group(records: Vec<MemberRecord>) -> Self {
+    pub fn of_voters(records: Vec<MemberRecord>) -> Self {
         let voter = |record: MemberRecord| (record.id, MemberRecord { voter: true, ..record });
         Self { members: records.into_iter().map(voter).collect(), removed: Vec::new() }
     }
@@ -100,7 +100,7 @@
     }
 
     /// The membership after `change`, or `None` if the change does not apply to this membership.
-    pub fn changed(&self, change: &MembershipChange) -> Option<Self> {
+    pub fn with_change(&self, change: &MembershipChange) -> Option<Self> {
         let mut next = self.clone();
         match change {
             MembershipChange::AddLearner(record) => {
--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -73,14 +73,14 @@
         seed: u64,
     ) -> Self {
         let table = LogTable::new(state.snapshot, state.entries);
-        let commit = state.commit.min(table.last_index()).max(table.snapshot().index);
+        let commit = state.commit_index.min(table.last_index()).max(table.snapshot().index);
         let mut node = Self {
             id: identity.id,
             config,
             now: Duration::ZERO,
             random: election::spread_seed(seed, identity.id),
-            hard: state.hard,
-            group: state.hard.group.or(identity.group),
+            hard: state.hard_state,
+            group: state.hard_state.group.or(identity.group),
             commit,
             commit_noted: commit,
             handed: table.snapshot().index,
@@ -231,7 +231,7 @@
         let Some(term) = self.table.term_at(index) else { return };
         let membership = self.table.membership_at(index).clone();
         let image = SnapshotImage { index, term, membership, data };
-        self.table.install(image.clone());
+        self.table.install_snapshot(image.clone());
         self.output.writes.push(LogWrite::Snapshot { image, keep_tail: true });
     }
 
--- a/crates/replica/src/node/follower.rs
+++ b/crates/replica/src/node/follower.rs
@@ -155,7 +155,7 @@
         }
         let image =
             SnapshotImage { index, term: incoming.last_term, membership, data: incoming.data };
-        let keep_tail = self.table.install(image.clone());
+        let keep_tail = self.table.install_snapshot(image.clone());
         self.commit = index;
         self.handed = index;
         // Entries handed out but not yet taken are covered by the snapshot.
--- a/crates/replica/src/node/leader.rs
+++ b/crates/replica/src/node/leader.rs
@@ -111,7 +111,8 @@
                 return Err(ProposeError::NotCaughtUp);
             }
         }
-        let next = self.table.membership().changed(change).ok_or(ProposeError::InvalidChange)?;
+        let next =
+            self.table.membership().with_change(change).ok_or(ProposeError::InvalidChange)?;
         if self.table.last_index().0 - self.commit.0 >= MAX_UNCOMMITTED {
             return Err(ProposeError::Busy);
         }
@@ -339,7 +340,7 @@
         let entries = if blocked {
             Vec::new()
         } else {
-            self.table.slice(peer.next, self.config.max_append_bytes)
+            self.table.entries_from(peer.next, self.config.max_append_bytes)
         };
         // A peer that has everything is told of a commitment at once: its followers wait for that word
         // to apply a change. Told by the next heartbeat only, those who follow such a member had a
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -94,13 +94,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
     /// Vote and term.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// Latest snapshot; empty at index 0 if none was taken.
     pub snapshot: SnapshotImage,
     /// Entries behind it.
     pub entries: Vec<LogEntry>,
     /// Last entry that was known to be committed, as far as that was noted; later ones may be.
-    pub commit: LogIndex,
+    pub commit_index: LogIndex,
 }
 
 impl RecoveredState {
@@ -111,7 +111,7 @@
     /// Says what is wrong if the write does not continue this state.
     pub fn replay(&mut self, write: LogWrite) -> Result<(), String> {
         match write {
-            LogWrite::HardState(hard) => self.hard = hard,
+            LogWrite::HardState(hard_state) => self.hard_state = hard_state,
             LogWrite::Truncate(from) => {
                 if from <= self.snapshot.index {
                     return Err(format!("truncation at {from} inside the snapshot"));
@@ -127,9 +127,9 @@
                 let last = image.index;
                 self.entries.retain(|entry| keep_tail && entry.index > last);
                 self.snapshot = image;
-                self.commit = self.commit.max(last);
+                self.commit_index = self.commit_index.max(last);
             }
-            LogWrite::Commit(index) => self.commit = self.commit.max(index),
+            LogWrite::Commit(index) => self.commit_index = self.commit_index.max(index),
         }
         Ok(())
     }
@@ -158,7 +158,7 @@
     ///
     /// # Errors
     /// Fails if the folder already holds a member or cannot be written.
-    pub fn found(
+    pub fn bootstrap(
         folder: &Path,
         id: MemberId,
         group: GroupId,
@@ -167,7 +167,7 @@
     ) -> Result<MemberIdentity, StoreError> {
         let record =
             MemberRecord { id, name: name.to_owned(), address: address.to_owned(), voter: true };
-        Self::found_group(folder, id, group, Membership::founding(record))
+        Self::bootstrap_group(folder, id, group, Membership::single_voter(record))
     }
 
     /// Initialises `folder` as member `id` of a new group whose founders are known beforehand. All
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     /// Fails if the folder already holds a member or cannot be written.
-    pub fn found_group(
+    pub fn bootstrap_group(
         folder: &Path,
         id: MemberId,
         group: GroupId,
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     /// Fails if the folder already holds a member or cannot be written.
-    pub fn join(folder: &Path, id: MemberId) -> Result<MemberIdentity, StoreError> {
+    pub fn init_joining(folder: &Path, id: MemberId) -> Result<MemberIdentity, StoreError> {
         Self::initialise(folder, MemberIdentity { format: FORMAT, id, group: None }, &[])
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// Size of the log file in bytes.
-    pub fn bytes(&self) -> u64 {
+    pub fn log_bytes(&self) -> u64 {
         self.bytes
     }
 
@@ -291,9 +291,9 @@
         let image = state.snapshot;
         let kept = [
             LogWrite::Snapshot { image, keep_tail: false },
-            LogWrite::HardState(state.hard),
+            LogWrite::HardState(state.hard_state),
             LogWrite::Append(state.entries),
-            LogWrite::Commit(state.commit),
+            LogWrite::Commit(state.commit_index),
         ];
         self.bytes = replace_log(&self.folder, &kept)?;
         self.log =
--- a/crates/replica/tests/founding.rs
+++ b/crates/replica/tests/founding.rs
@@ -20,7 +20,8 @@
 #[test]
 fn a_founder_leads_alone_and_again_after_a_restart() {
     let folder = tempfile::tempdir().expect("a folder");
-    LogStore::found(folder.path(), MemberId(7), GroupId(1), "a", "127.0.0.1:1").expect("founded");
+    LogStore::bootstrap(folder.path(), MemberId(7), GroupId(1), "a", "127.0.0.1:1")
+        .expect("founded");
     for _ in 0..2 {
         let (mut store, identity, state) = LogStore::open(folder.path()).expect("opened");
         let mut node = ReplicaNode::new(&identity, state, ReplicaConfig::default(), 1);
--- a/crates/testkit/src/group.rs
+++ b/crates/testkit/src/group.rs
@@ -54,13 +54,14 @@
 impl GroupSim {
     /// A group of `voters` members that all start with the same founding snapshot.
     pub fn new(voters: usize, config: ReplicaConfig) -> Self {
-        let mut membership = Membership::founding(record(0));
+        let mut membership = Membership::single_voter(record(0));
         for number in 1..voters {
             let id = member_id(number);
-            let added = membership.changed(&MembershipChange::AddLearner(record(number)));
+            let added = membership.with_change(&MembershipChange::AddLearner(record(number)));
             membership = added.expect("a new member");
-            membership =
-                membership.changed(&MembershipChange::Promote(id)).expect("a learner to promote");
+            membership = membership
+                .with_change(&MembershipChange::Promote(id))
+                .expect("a learner to promote");
         }
         let mut sim = Self {
             config,
@@ -75,7 +76,7 @@
         };
         for number in 0..voters {
             let disk = RecoveredState {
-                hard: HardState { group: Some(GROUP), term: Term(1), voted_for: None },
+                hard_state: HardState { group: Some(GROUP), term: Term(1), voted_for: None },
                 snapshot: SnapshotImage {
                     index: LogIndex(1),
                     term: Term(1),
@@ -83,7 +84,7 @@
                     data: Vec::new(),
                 },
                 entries: Vec::new(),
-                commit: LogIndex(1),
+                commit_index: LogIndex(1),
             };
             sim.push_member(number, Some(GROUP), disk);
         }
--- a/examples/embed_replica.rs
+++ b/examples/embed_replica.rs
@@ -34,7 +34,13 @@
 }
 
 fn run(folder: &Path) -> anyhow::Result<()> {
-    LogStore::found(folder, MemberId(rand::random()), GroupId(rand::random()), "a", "10.0.0.1:1")?;
+    LogStore::bootstrap(
+        folder,
+        MemberId(rand::random()),
+        GroupId(rand::random()),
+        "a",
+        "10.0.0.1:1",
+    )?;
     let (mut store, identity, state) = LogStore::open(folder)?;
     let mut node = ReplicaNode::new(&identity, state, ReplicaConfig::default().check()?, 1);
     node.tick(Duration::from_millis(1));
--- a/src/commands/init.rs
+++ b/src/commands/init.rs
@@ -36,10 +36,10 @@
         if self.founding {
             let group = GroupId(rand::random());
             let name = settings.instance.as_str();
-            LogStore::found(folder, id, group, name, &control.peer_address)?;
+            LogStore::bootstrap(folder, id, group, name, &control.peer_address)?;
             println!("founded a group with member {id}");
         } else {
-            LogStore::join(folder, id)?;
+            LogStore::init_joining(folder, id)?;
             println!("member {id} may join; add it with:");
             let (name, address) = (&settings.instance, &control.peer_address);
             println!("  egretseam members add --id {id} --name {name} --address {address}");
--- a/tests/all/group_repair.rs
+++ b/tests/all/group_repair.rs
@@ -38,7 +38,7 @@
 }
 
 fn founders() -> Membership {
-    Membership::founding_group(vec![record(1, 1), record(2, 2), record(3, 3)])
+    Membership::of_voters(vec![record(1, 1), record(2, 2), record(3, 3)])
 }
 
 /// Applies steps until nothing is due; returns them.
@@ -49,7 +49,7 @@
 ) -> Vec<MembershipChange> {
     let mut steps = Vec::new();
     while let Some(step) = joins.next_change(&status(membership, silent), OWN, Instant::now()) {
-        *membership = membership.changed(&step).expect("a step that applies");
+        *membership = membership.with_change(&step).expect("a step that applies");
         steps.push(step);
         assert!(steps.len() < 10, "the repair does not come to rest: {steps:?}");
     }
--- a/tests/all/store.rs
+++ b/tests/all/store.rs
@@ -18,7 +18,8 @@
 /// A folder with entries 2 to 6, one sync each.
 fn folder_with_entries() -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
-    LogStore::found(folder.path(), MemberId(9), GroupId(1), "a", "127.0.0.1:1").expect("founded");
+    LogStore::bootstrap(folder.path(), MemberId(9), GroupId(1), "a", "127.0.0.1:1")
+        .expect("founded");
     let (mut store, _, _) = LogStore::open(folder.path()).expect("opened");
     for index in 2..=6 {
         store.write(&[LogWrite::Append(vec![entry(index)])]).expect("written");
@@ -75,7 +76,7 @@
 #[test]
 fn founding_twice_is_refused() {
     let folder = folder_with_entries();
-    let again = LogStore::found(folder.path(), MemberId(1), GroupId(2), "b", "127.0.0.1:2");
+    let again = LogStore::bootstrap(folder.path(), MemberId(1), GroupId(2), "b", "127.0.0.1:2");
     assert!(matches!(again, Err(StoreError::AlreadyInitialised(_))));
     assert_eq!(last_index(folder.path()).expect("opened"), LogIndex(6));
 }
@@ -108,15 +109,18 @@
         membership: state.snapshot.membership.clone(),
         data: vec![1, 2, 3],
     };
-    let before = store.bytes();
+    let before = store.log_bytes();
     store.write(&[LogWrite::Snapshot { image, keep_tail: true }]).expect("written");
-    assert!(store.bytes() < before + 100);
+    assert!(store.log_bytes() < before + 100);
     drop(store);
     let (_, _, state) = LogStore::open(folder.path()).expect("opened");
     assert_eq!(state.snapshot.data, vec![1, 2, 3]);
     let kept: Vec<u64> = state.entries.iter().map(|entry| entry.index.0).collect();
     assert_eq!(kept, vec![5, 6]);
-    assert_eq!(state.hard, HardState { group: Some(GroupId(1)), term: Term(1), voted_for: None });
+    assert_eq!(
+        state.hard_state,
+        HardState { group: Some(GroupId(1)), term: Term(1), voted_for: None }
+    );
 }
 
 proptest! {
