--- a/crates/replica/src/config.rs
+++ b/crates/replica/src/config.rs
@@ -1,16 +1,16 @@
-//! Checked timing and size limits of a replica.
+//! Timing and size limits of a replica, and their validation.
 
 use std::time::Duration;
 use thiserror::Error;
 
-/// Limits that make no sense together.
+/// A rule that a [`ReplicaConfig`] breaks.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ReplicaConfigError {
-    /// Heartbeats must fit several times into an election timeout, or a single late one starts an
-    /// election.
+    /// The election timeout is shorter than three heartbeat intervals, so that a single late
+    /// heartbeat could start an election.
     #[error("the election timeout must be at least three heartbeat intervals")]
     ElectionTimeoutTooShort,
-    /// A limit was zero.
+    /// The named limit is zero.
     #[error("{0} must not be zero")]
     Zero(&'static str),
 }
@@ -18,15 +18,16 @@
 /// Timing and size limits of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaConfig {
-    /// Time between heartbeats of a leader.
+    /// Interval at which a leader sends heartbeats.
     pub heartbeat_interval: Duration,
-    /// Shortest silence after which a follower starts an election; the longest is twice this.
+    /// Shortest time without a heartbeat after which a follower starts an election. Each wait is
+    /// randomised between this and twice this.
     pub election_timeout: Duration,
-    /// Most payload bytes in one append message.
+    /// Maximum payload bytes in one append message; a single larger entry is sent alone.
     pub max_append_bytes: usize,
-    /// Most bytes in one piece of a snapshot.
+    /// Maximum bytes in one piece of a snapshot.
     pub snapshot_piece_bytes: usize,
-    /// How many entries a learner may lack when it is promoted to voter.
+    /// Maximum number of entries by which a learner may lag when it is promoted to voter.
     pub promote_max_lag: u64,
 }
 
@@ -43,7 +44,7 @@
 }
 
 impl ReplicaConfig {
-    /// Checks the limits against each other.
+    /// Returns the config unchanged if its limits are valid.
     ///
     /// # Errors
     /// Returns the first rule that the limits break.
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,17 +1,17 @@
-//! A replicated log as a pure state machine, with a durable store for it.
+//! A replicated log as a deterministic state machine without I/O, and a durable store for it.
 //!
-//! [`ReplicaNode`] decides; it never reads a clock, a socket or a file. A driver feeds it inputs
-//! (ticks, messages, proposals, reads, "the disk has synced") and carries out what
+//! [`ReplicaNode`] holds the protocol logic and never reads a clock, a socket or a file. A driver
+//! feeds it inputs (ticks, messages, proposals, reads, completed syncs) and carries out what
 //! [`ReplicaNode::take_output`] returns: writes to sync, messages to send, entries to apply. The
 //! same node therefore runs under a paused clock in tests and over TCP in a daemon.
 //!
-//! The protocol is a majority log with elections: a pre-vote keeps a cut-off member from disturbing
-//! a working leader, a round of acknowledged heartbeats confirms a read, membership changes one
-//! step at a time, and a new member votes only after it caught up. `docs/decisions/0002-log.md`
-//! says which other designs were weighed.
+//! The protocol is quorum replication with an elected leader. A pre-vote keeps a partitioned member
+//! from disturbing a working leader; a heartbeat round acknowledged by a quorum confirms a read;
+//! the membership changes by one member at a time; a learner becomes a voter only after it has
+//! caught up. `docs/decisions/0002-log.md` lists the alternatives that were considered.
 //!
-//! [`LogStore`] keeps a node's state in one data folder: framed, checksummed, synced before any
-//! acknowledgement leaves.
+//! [`LogStore`] keeps a node's state in one data folder as checksummed frames, each synced before
+//! anything that depends on it is acknowledged.
 
 mod config;
 mod log_table;
--- a/crates/replica/src/log_table.rs
+++ b/crates/replica/src/log_table.rs
@@ -1,4 +1,4 @@
-//! The entries held in memory: everything behind the latest snapshot.
+//! The log held in memory: the latest snapshot and all entries after it.
 
 use crate::{
     membership::Membership,
@@ -6,12 +6,12 @@
 };
 use std::collections::VecDeque;
 
-/// Entries behind a snapshot, with the memberships they carry.
+/// A snapshot, the entries after it and the memberships that these entries carry.
 #[derive(Debug)]
 pub(crate) struct LogTable {
     snapshot: SnapshotImage,
     entries: VecDeque<LogEntry>,
-    /// Memberships in the log, oldest first; the snapshot's membership comes before all of them.
+    /// Memberships carried by `entries`, oldest first; the snapshot's membership precedes them.
     memberships: Vec<(LogIndex, Membership)>,
 }
 
@@ -40,7 +40,8 @@
         self.entries.back().map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// Term at `index`, or `None` outside of what is held.
+    /// Term of the entry at `index`, or `None` before the snapshot's index and after the last
+    /// entry.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -61,35 +62,35 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops all entries from `from` on, and the memberships they brought.
+    /// Drops all entries from `from` on, and the memberships they carry.
     pub(crate) fn truncate(&mut self, from: LogIndex) {
         let keep = from.0.saturating_sub(self.first_index().0);
         self.entries.truncate(keep as usize);
         self.memberships.retain(|(index, _)| *index < from);
     }
 
-    /// Entries from `from` on, up to `max_bytes` but at least one.
+    /// Entries from `from` on, up to `max_bytes` in total but at least one if there is any.
     pub(crate) fn entries_from(&self, from: LogIndex, max_bytes: usize) -> Vec<LogEntry> {
-        let mut taken = Vec::new();
+        let mut entries = Vec::new();
         let mut bytes = 0;
         let mut index = from;
         while let Some(entry) = self.get(index) {
             bytes += entry.payload.size();
-            if bytes > max_bytes && !taken.is_empty() {
+            if bytes > max_bytes && !entries.is_empty() {
                 break;
             }
-            taken.push(entry.clone());
+            entries.push(entry.clone());
             index = index.next();
         }
-        taken
+        entries
     }
 
-    /// The membership in force: the latest in the log, committed or not.
+    /// The membership in force: the latest one in the log, committed or not.
     pub(crate) fn membership(&self) -> &Membership {
         self.memberships.last().map_or(&self.snapshot.membership, |(_, membership)| membership)
     }
 
-    /// Index of the entry that brought the membership in force.
+    /// Index of the entry that carries the membership in force, or of the snapshot.
     pub(crate) fn membership_index(&self) -> LogIndex {
         self.memberships.last().map_or(self.snapshot.index, |(index, _)| *index)
     }
@@ -99,17 +100,18 @@
         self.memberships
             .iter()
             .rev()
-            .find(|(at, _)| *at <= index)
+            .find(|(entry_index, _)| *entry_index <= index)
             .map_or(&self.snapshot.membership, |(_, membership)| membership)
     }
 
-    /// Replaces everything up to `image.index` by the image. Entries behind it stay if they
-    /// continue it, else the log holds nothing but the image.
+    /// Replaces the snapshot and all entries up to `image.index` by `image`. Later entries stay if
+    /// the log's term at `image.index` is the image's term, else they are dropped too. Returns
+    /// whether they stayed.
     pub(crate) fn install_snapshot(&mut self, image: SnapshotImage) -> bool {
         let keep_tail = self.term_at(image.index) == Some(image.term);
         if keep_tail {
-            let covered = image.index.0 - self.snapshot.index.0;
-            self.entries.drain(..covered as usize);
+            let covered_entries = image.index.0 - self.snapshot.index.0;
+            self.entries.drain(..covered_entries as usize);
             self.memberships.retain(|(index, _)| *index > image.index);
         } else {
             self.entries.clear();
--- a/crates/replica/src/membership.rs
+++ b/crates/replica/src/membership.rs
@@ -1,15 +1,19 @@
-//! Who belongs to the group. Members are told apart by a random id that lives on their disk: a
-//! member that lost its disk comes back under a new id and is therefore a stranger, so it can
-//! never vote with an empty log in the name of its former self.
+//! The members of a group and the changes of its membership.
+//!
+//! Each member is identified by an id stored on its disk. A member that lost its disk rejoins under
+//! a new id, which the group does not know, so it can never vote with an empty log under its
+//! previous identity.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How many ids of removed members are remembered, to tell a returning one that it is out.
-const MAX_REMOVED: usize = 64;
+/// Maximum number of ids of removed members kept. A member whose id is among them is told on its
+/// return that it was removed, and cannot be added again.
+const MAX_REMOVED_IDS: usize = 64;
 
-/// Random id of one member, drawn when its data folder is initialised and lost with it.
+/// Id of one member, assigned when its data folder is initialised and lost with the folder. The
+/// embedder draws a random id, or derives it where the founders are known beforehand.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -22,40 +26,40 @@
     }
 }
 
-/// One member as the group knows it.
+/// One member, as recorded in the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The member's id.
+    /// Id from the member's data folder.
     pub id: MemberId,
-    /// The instance's name, for people.
+    /// The instance's name, for display only.
     pub name: String,
     /// `host:port` of the member's peer listener.
     pub address: String,
-    /// Whether the member votes; a learner only receives the log.
+    /// Whether the member votes; if not it is a learner, which only receives the log.
     pub voter: bool,
 }
 
-/// The members of a group at one point of the log.
+/// The members of a group as of one log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     members: IndexMap<MemberId, MemberRecord>,
     removed: Vec<MemberId>,
 }
 
-/// One step of change. Only one may be under way at a time: majorities of two memberships that
-/// differ by one voter always overlap, and those that differ by two need not.
+/// A change of one member. Only one change may be uncommitted at a time: quorums of two memberships
+/// that differ by one voter always overlap, quorums of memberships that differ by two need not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
     /// Adds a member that receives the log but does not vote.
     AddLearner(MemberRecord),
-    /// Lets a learner vote.
+    /// Makes a learner a voter.
     Promote(MemberId),
-    /// Removes a member for good.
+    /// Removes a member; its id cannot be added again.
     Remove(MemberId),
 }
 
 impl Membership {
-    /// A group of one voter.
+    /// The membership of a new group with one voter.
     pub fn single_voter(mut record: MemberRecord) -> Self {
         record.voter = true;
         let mut membership = Self::default();
@@ -63,7 +67,8 @@
         membership
     }
 
-    /// A group of several voters that all begin with the same empty log.
+    /// The membership of a new group whose founders are all voters and start with the same empty
+    /// log.
     pub fn of_voters(records: Vec<MemberRecord>) -> Self {
         let voter = |record: MemberRecord| (record.id, MemberRecord { voter: true, ..record });
         Self { members: records.into_iter().map(voter).collect(), removed: Vec::new() }
@@ -89,17 +94,19 @@
         self.get(id).is_some_and(|member| member.voter)
     }
 
-    /// Whether `id` was a member and was removed.
+    /// Whether `id` was removed and is still among the removed ids that are kept.
     pub fn is_removed(&self, id: MemberId) -> bool {
         self.removed.contains(&id)
     }
 
-    /// Smallest number of voters that is a majority.
+    /// Smallest number of voters that forms a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// The membership after `change`, or `None` if the change does not apply to this membership.
+    /// The membership after `change`, or `None` if the change does not apply: the added member is
+    /// known or was removed, the promoted one is not a learner, the removed one is not a member or
+    /// is the last voter.
     pub fn with_change(&self, change: &MembershipChange) -> Option<Self> {
         let mut next = self.clone();
         match change {
@@ -118,7 +125,7 @@
                 next.members.shift_remove(id)?;
                 next.voters().next()?;
                 next.removed.push(*id);
-                let excess = next.removed.len().saturating_sub(MAX_REMOVED);
+                let excess = next.removed.len().saturating_sub(MAX_REMOVED_IDS);
                 next.removed.drain(..excess);
             }
         }
