--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -1,12 +1,14 @@
 //! A member's state on disk: `identity.json`, `lock`, and one file `log` of checksummed frames.
 //!
-//! Each call of [`LogStore::write`] adds one frame and syncs it, so only the last frame can ever
-//! be unsynced. That makes recovery decidable: a damaged frame at the end is a torn write that
-//! nothing was acknowledged for and is cut off; a damaged frame with a sound one behind it is a
-//! damaged disk, and the member refuses to start rather than forget what it acknowledged.
+//! Each call of [`LogStore::write`] without a snapshot appends one frame and syncs it, so only the
+//! last frame can be unsynced. Recovery can therefore tell a torn write from a corrupted log. An
+//! invalid frame at the end is taken as a torn write, of which nothing was acknowledged, and is
+//! truncated. An invalid frame that an intact one follows had been synced, so the log is corrupted,
+//! and opening the store fails rather than drop acknowledged entries.
 //!
-//! A snapshot replaces the whole file: snapshot and tail go to `log.next`, which is synced and
-//! renamed over `log`. A crash at any point leaves the old file or the new one.
+//! A snapshot replaces the whole file: the snapshot and the entries after it are written to
+//! `log.next`, which is synced and renamed to `log`. A crash at any point leaves either the old
+//! file or the new one.
 
 mod frame;
 
@@ -26,89 +28,90 @@
 const IDENTITY_FILE: &str = "identity.json";
 const LOCK_FILE: &str = "lock";
 const LOG_FILE: &str = "log";
-const NEXT_FILE: &str = "log.next";
-/// Version of the files' layout.
+const NEXT_LOG_FILE: &str = "log.next";
+/// Version of the layout of the identity file and the log file.
 const FORMAT: u32 = 1;
 
-/// Why a data folder could not be used.
+/// An error of a data folder.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The folder was never initialised, or its disk was lost.
     #[error(
-        "data folder {0} holds no member; initialise it with `egretseam init --joining` (or \
-         `--founding` for the very first member). A member that lost its disk joins anew and \
-         replaces its former self"
+        "data folder {0} is not initialised; run `egretseam init --joining` (or `--founding` for \
+         the first member of a new group). A member that lost its disk joins under a new id, which \
+         replaces its previous one"
     )]
     Uninitialised(PathBuf),
-    /// The folder already holds a member.
-    #[error("data folder {0} already holds a member")]
+    /// The folder already has an identity file.
+    #[error("data folder {0} is already initialised as a member")]
     AlreadyInitialised(PathBuf),
-    /// Another process uses the folder.
+    /// Another process holds the folder's lock.
     #[error("data folder {0} is in use by another process")]
     InUse(PathBuf),
-    /// The log is damaged before its end.
+    /// The log is invalid in a way that a torn last write does not explain.
     #[error(
-        "log {path} is damaged at byte {offset} with sound records behind it: {detail}; \
+        "log {path} is corrupted at byte {offset} and cannot be recovered: {detail}; \
              replace this member"
     )]
-    Damaged {
-        /// The file.
+    CorruptedLog {
+        /// Log file.
         path: PathBuf,
-        /// Where.
+        /// Offset of the invalid frame in bytes, or the size of the log if a new write is invalid.
         offset: u64,
-        /// What was found.
+        /// Why it is invalid, or what proves that it is no torn write.
         detail: String,
     },
-    /// The identity file cannot be read as one.
-    #[error("{path} is not a member's identity: {detail}")]
-    BadIdentity {
-        /// The file.
+    /// The identity file is malformed or of another format version.
+    #[error("invalid identity file {path}: {detail}")]
+    InvalidIdentity {
+        /// Identity file.
         path: PathBuf,
-        /// What was found.
+        /// Why it is invalid.
         detail: String,
     },
-    /// The file system refused.
+    /// A file operation failed.
     #[error("{action} {path}: {source}")]
     Io {
-        /// What was tried.
+        /// Operation, as a verb.
         action: &'static str,
-        /// On which file.
+        /// File or folder that it was applied to.
         path: PathBuf,
-        /// Why it failed.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Who the folder's member is.
+/// Identity of the member that a data folder belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberIdentity {
-    /// Layout version of the folder.
+    /// Version of the folder's layout.
     pub format: u32,
-    /// Random id, new with every initialisation.
+    /// Id of the member. A folder that is initialised anew must get an id that the group has not
+    /// seen.
     pub id: MemberId,
-    /// Group founded here; `None` for a member that joins.
+    /// Group that this member founded; `None` for a member that joins an existing one.
     pub group: Option<GroupId>,
 }
 
-/// What the log held when it was opened.
+/// State recovered from the log when a data folder is opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
-    /// Vote and term.
+    /// Group, latest term and the vote in it.
     pub hard_state: HardState,
-    /// Latest snapshot; empty at index 0 if none was taken.
+    /// Latest snapshot; empty and at index 0 if there is none.
     pub snapshot: SnapshotImage,
-    /// Entries behind it.
+    /// Entries after the snapshot.
     pub entries: Vec<LogEntry>,
-    /// Last entry that was known to be committed, as far as that was noted; later ones may be.
+    /// Last commit index on disk; later entries may be committed too.
     pub commit_index: LogIndex,
 }
 
 impl RecoveredState {
-    /// Replays one write, as reading it back from disk does. For embedders with a storage of their
-    /// own, and for tests that model a disk.
+    /// Applies one write to this state, as recovery does for each write in the log. Also for
+    /// embedders with their own storage and for tests that simulate a disk.
     ///
     /// # Errors
-    /// Says what is wrong if the write does not continue this state.
+    /// Returns the reason if the write does not continue this state.
     pub fn replay(&mut self, write: LogWrite) -> Result<(), String> {
         match write {
             LogWrite::HardState(hard_state) => self.hard_state = hard_state,
@@ -144,20 +147,20 @@
     }
 }
 
-/// An opened data folder. The folder is locked until this is dropped.
+/// An open data folder. The folder is locked until the store is dropped.
 #[derive(Debug)]
 pub struct LogStore {
     folder: PathBuf,
     log: File,
-    bytes: u64,
+    log_bytes: u64,
     _lock: File,
 }
 
 impl LogStore {
-    /// Initialises `folder` as the first member of a new group.
+    /// Initialises `folder` as the first and only member of a new group.
     ///
     /// # Errors
-    /// Fails if the folder already holds a member or cannot be written.
+    /// Fails if the folder is already initialised or cannot be written.
     pub fn bootstrap(
         folder: &Path,
         id: MemberId,
@@ -171,10 +174,10 @@
     }
 
     /// Initialises `folder` as member `id` of a new group whose founders are known beforehand. All
-    /// founders must give the same membership and group.
+    /// founders must pass the same `group` and `membership`.
     ///
     /// # Errors
-    /// Fails if the folder already holds a member or cannot be written.
+    /// Fails if the folder is already initialised or cannot be written.
     pub fn bootstrap_group(
         folder: &Path,
         id: MemberId,
@@ -188,16 +191,17 @@
         Self::initialise(folder, MemberIdentity { format: FORMAT, id, group: Some(group) }, &writes)
     }
 
-    /// Initialises `folder` as a member that some group will add.
+    /// Initialises `folder` as a member that an existing group is to add; does not contact the
+    /// group.
     ///
     /// # Errors
-    /// Fails if the folder already holds a member or cannot be written.
+    /// Fails if the folder is already initialised or cannot be written.
     pub fn init_joining(folder: &Path, id: MemberId) -> Result<MemberIdentity, StoreError> {
         Self::initialise(folder, MemberIdentity { format: FORMAT, id, group: None }, &[])
     }
 
-    /// Discards the member in `folder`, so that another can be initialised there. For a member that
-    /// its group has removed: its votes and log count for nothing any more.
+    /// Deletes the identity in `folder`, so that a new member can be initialised there. Only for a
+    /// member that its group has removed, because its votes and its log no longer count.
     ///
     /// # Errors
     /// Fails if the folder cannot be changed.
@@ -223,79 +227,85 @@
             return Err(StoreError::AlreadyInitialised(folder.to_owned()));
         }
         replace_log(folder, writes)?;
-        // The identity comes last: a crash before it leaves a folder that counts as empty.
-        let text = serde_json::to_vec_pretty(&identity)
-            .map_err(|e| StoreError::BadIdentity { path: path.clone(), detail: e.to_string() })?;
+        // The identity is written last: a crash before that leaves a folder that counts as
+        // uninitialised.
+        let text = serde_json::to_vec_pretty(&identity).map_err(|e| {
+            StoreError::InvalidIdentity { path: path.clone(), detail: e.to_string() }
+        })?;
         let next = folder.join("identity.next");
         write_file(&next, &text)?;
         rename_synced(folder, &next, &path)?;
         Ok(identity)
     }
 
-    /// Opens an initialised folder, cutting off a torn last frame.
+    /// Locks and opens an initialised folder, recovers its state and truncates a torn last frame.
     ///
     /// # Errors
     /// See [`StoreError`].
     pub fn open(folder: &Path) -> Result<(Self, MemberIdentity, RecoveredState), StoreError> {
         let identity = read_identity(folder)?;
-        let lock = take_lock(folder)?;
+        let lock = lock_folder(folder)?;
         let path = folder.join(LOG_FILE);
         let bytes = fs::read(&path).map_err(|e| io_error("read", &path, e))?;
-        let (state, sound) = recover(&path, &bytes)?;
+        let (state, intact_bytes) = recover(&path, &bytes)?;
         let log =
             OpenOptions::new().append(true).open(&path).map_err(|e| io_error("open", &path, e))?;
-        if sound < bytes.len() as u64 {
-            tracing::warn!(kept = sound, cut = bytes.len() as u64 - sound, "cut off a torn record");
-            log.set_len(sound).map_err(|e| io_error("truncate", &path, e))?;
+        if intact_bytes < bytes.len() as u64 {
+            tracing::warn!(
+                kept = intact_bytes,
+                cut = bytes.len() as u64 - intact_bytes,
+                "truncated a torn frame at the end of the log"
+            );
+            log.set_len(intact_bytes).map_err(|e| io_error("truncate", &path, e))?;
             log.sync_all().map_err(|e| io_error("sync", &path, e))?;
         }
-        let store = Self { folder: folder.to_owned(), log, bytes: sound, _lock: lock };
+        let store = Self { folder: folder.to_owned(), log, log_bytes: intact_bytes, _lock: lock };
         Ok((store, identity, state))
     }
 
-    /// Carries out `writes` in order and syncs them. On an error nothing may be assumed about
-    /// what reached the disk: drop the store and open it anew.
+    /// Carries out `writes` in order and returns once they are synced. After an error it is unknown
+    /// what reached the disk: drop the store and open it again.
     ///
     /// # Errors
-    /// Returns the file system's refusal.
+    /// Returns the file operation that failed, or, for a snapshot, why the log cannot be rewritten.
     pub fn write(&mut self, writes: &[LogWrite]) -> Result<(), StoreError> {
         let is_snapshot = |write: &LogWrite| matches!(write, LogWrite::Snapshot { .. });
         if writes.iter().any(is_snapshot) {
-            return self.rewrite(writes);
+            return self.rewrite_log(writes);
         }
         let path = self.folder.join(LOG_FILE);
         let mut frame = Vec::new();
         write_frame(&mut frame, writes);
         self.log.write_all(&frame).map_err(|e| io_error("append to", &path, e))?;
         self.log.sync_data().map_err(|e| io_error("sync", &path, e))?;
-        self.bytes += frame.len() as u64;
+        self.log_bytes += frame.len() as u64;
         Ok(())
     }
 
     /// Size of the log file in bytes.
     pub fn log_bytes(&self) -> u64 {
-        self.bytes
+        self.log_bytes
     }
 
-    fn rewrite(&mut self, writes: &[LogWrite]) -> Result<(), StoreError> {
+    fn rewrite_log(&mut self, writes: &[LogWrite]) -> Result<(), StoreError> {
         let path = self.folder.join(LOG_FILE);
         let bytes = fs::read(&path).map_err(|e| io_error("read", &path, e))?;
         let (mut state, _) = recover(&path, &bytes)?;
         for write in writes {
-            state.replay(write.clone()).map_err(|detail| StoreError::Damaged {
+            state.replay(write.clone()).map_err(|detail| StoreError::CorruptedLog {
                 path: path.clone(),
                 offset: bytes.len() as u64,
                 detail,
             })?;
         }
         let image = state.snapshot;
-        let kept = [
+        let compacted = [
             LogWrite::Snapshot { image, keep_tail: false },
             LogWrite::HardState(state.hard_state),
             LogWrite::Append(state.entries),
             LogWrite::Commit(state.commit_index),
         ];
-        self.bytes = replace_log(&self.folder, &kept)?;
+        self.log_bytes = replace_log(&self.folder, &compacted)?;
         self.log =
             OpenOptions::new().append(true).open(&path).map_err(|e| io_error("open", &path, e))?;
         Ok(())
@@ -304,15 +314,16 @@
 
 fn recover(path: &Path, bytes: &[u8]) -> Result<(RecoveredState, u64), StoreError> {
     let mut state = RecoveredState::default();
-    let damaged = |offset, detail| StoreError::Damaged { path: path.to_owned(), offset, detail };
-    let sound = scan_frames(bytes, |offset, writes| {
+    let corrupted =
+        |offset, detail| StoreError::CorruptedLog { path: path.to_owned(), offset, detail };
+    let intact_bytes = scan_frames(bytes, |offset, writes| {
         for write in writes {
             state.replay(write).map_err(|detail| FrameError { offset, detail })?;
         }
         Ok(())
     })
-    .map_err(|error| damaged(error.offset, error.detail))?;
-    Ok((state, sound))
+    .map_err(|error| corrupted(error.offset, error.detail))?;
+    Ok((state, intact_bytes))
 }
 
 fn read_identity(folder: &Path) -> Result<MemberIdentity, StoreError> {
@@ -324,17 +335,18 @@
         }
         Err(error) => return Err(io_error("read", &path, error)),
     };
-    let bad = |detail: String| StoreError::BadIdentity { path: path.clone(), detail };
-    let identity: MemberIdentity = serde_json::from_slice(&text).map_err(|e| bad(e.to_string()))?;
+    let invalid = |detail: String| StoreError::InvalidIdentity { path: path.clone(), detail };
+    let identity: MemberIdentity =
+        serde_json::from_slice(&text).map_err(|e| invalid(e.to_string()))?;
     if identity.format != FORMAT {
-        return Err(bad(format!("format {} is not {FORMAT}", identity.format)));
+        return Err(invalid(format!("format {} is not {FORMAT}", identity.format)));
     }
     Ok(identity)
 }
 
-/// Failure guarded: two processes on one folder would interleave their records. It shows as a log
-/// that is damaged at the next start. The lock dies with its process, however that ends.
-fn take_lock(folder: &Path) -> Result<File, StoreError> {
+/// Locks the folder against other processes: two of them would interleave their frames, and the
+/// next start would find a corrupted log. The lock is released however its process ends.
+fn lock_folder(folder: &Path) -> Result<File, StoreError> {
     let path = folder.join(LOCK_FILE);
     let lock = File::create(&path).map_err(|e| io_error("create", &path, e))?;
     match lock.try_lock() {
@@ -349,7 +361,7 @@
     if !writes.is_empty() {
         write_frame(&mut bytes, writes);
     }
-    let next = folder.join(NEXT_FILE);
+    let next = folder.join(NEXT_LOG_FILE);
     write_file(&next, &bytes)?;
     rename_synced(folder, &next, &folder.join(LOG_FILE))?;
     Ok(bytes.len() as u64)
--- a/crates/replica/src/store/frame.rs
+++ b/crates/replica/src/store/frame.rs
@@ -1,14 +1,14 @@
-//! Frames of the log file: magic, length, CRC-32, then the writes of one sync.
+//! Encoding of the log file. A frame holds the writes of one sync: magic, length, CRC-32, payload.
 
 use crate::message::LogWrite;
 use std::ops::Range;
 
-/// Marks the start of a frame.
+/// First bytes of each frame.
 const MAGIC: [u8; 4] = *b"egr1";
-/// Magic, length and checksum.
+/// Magic, payload length and CRC-32 of the payload, 4 bytes each.
 const HEADER_BYTES: usize = 12;
 
-/// A damaged frame that is not just a torn end.
+/// A frame or write that is invalid although it is no torn write at the end of the log.
 #[derive(Debug)]
 pub(super) struct FrameError {
     pub(super) offset: u64,
@@ -25,8 +25,8 @@
     buffer.extend_from_slice(&payload);
 }
 
-/// Calls `visit` for each frame; returns the number of sound bytes. What is behind them is a torn
-/// last write.
+/// Calls `visit` with the offset and the writes of each frame; returns the number of bytes in
+/// intact frames. Bytes after them are a torn last write.
 pub(super) fn scan_frames(
     bytes: &[u8],
     mut visit: impl FnMut(u64, Vec<LogWrite>) -> Result<(), FrameError>,
@@ -34,7 +34,7 @@
     let mut offset = 0;
     while offset < bytes.len() {
         let Some((range, writes)) = read_frame(bytes, offset) else {
-            refuse_sound_tail(bytes, offset)?;
+            ensure_no_frame_after(bytes, offset)?;
             break;
         };
         visit(offset as u64, writes)?;
@@ -59,15 +59,16 @@
     Some((offset..start + length, writes))
 }
 
-/// Failure guarded: bit rot in the middle of the log would pass for a torn end, and cutting there
-/// would forget acknowledged entries. It would show as a member whose votes elect a leader without
-/// them. A sound frame behind the damage proves that the damage was once synced.
-fn refuse_sound_tail(bytes: &[u8], damaged: usize) -> Result<(), FrameError> {
-    let starts = (damaged + 1..bytes.len()).filter(|at| bytes[*at..].starts_with(&MAGIC));
+/// Fails if an intact frame follows the invalid one at `invalid_offset`. It proves that the invalid
+/// frame was synced and has been corrupted since, for example by bit rot. Truncating the log there
+/// as if the write were torn would drop acknowledged entries, and the vote of this member could
+/// elect a leader that lacks them.
+fn ensure_no_frame_after(bytes: &[u8], invalid_offset: usize) -> Result<(), FrameError> {
+    let starts = (invalid_offset + 1..bytes.len()).filter(|at| bytes[*at..].starts_with(&MAGIC));
     for start in starts {
         if read_frame(bytes, start).is_some() {
             let detail = format!("a sound record follows at byte {start}");
-            return Err(FrameError { offset: damaged as u64, detail });
+            return Err(FrameError { offset: invalid_offset as u64, detail });
         }
     }
     Ok(())
--- a/tests/all/store.rs
+++ b/tests/all/store.rs
@@ -1,4 +1,4 @@
-//! The data folder after crashes and damage.
+//! Recovery of a control member's data folder after crashes and corruption.
 
 use egretseam_replica::{
     EntryPayload, GroupId, HardState, LogEntry, LogIndex, LogStore, LogWrite, MemberId,
@@ -15,11 +15,11 @@
     LogEntry { index: LogIndex(index), term: Term(1), payload }
 }
 
-/// A folder with entries 2 to 6, one sync each.
+/// A data folder whose log holds entries 2 to 6, one frame each.
 fn folder_with_entries() -> tempfile::TempDir {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     LogStore::bootstrap(folder.path(), MemberId(9), GroupId(1), "a", "127.0.0.1:1")
-        .expect("founded");
+        .expect("bootstrapped");
     let (mut store, _, _) = LogStore::open(folder.path()).expect("opened");
     for index in 2..=6 {
         store.write(&[LogWrite::Append(vec![entry(index)])]).expect("written");
@@ -32,15 +32,15 @@
     Ok(state.entries.last().map_or(state.snapshot.index, |last| last.index))
 }
 
-/// A member dies while it writes; its log ends in half a record. On restart it must hold all that
-/// was synced before and take new entries, as if the half record had never been begun.
+/// A member that crashes during a write leaves an incomplete frame at the end of its log. After the
+/// restart it must hold all entries synced before and append new ones where the torn frame was.
 #[test]
-fn a_torn_record_is_cut_off_and_the_log_goes_on() {
+fn a_torn_last_frame_is_truncated_and_appends_continue() {
     let folder = folder_with_entries();
     let path = folder.path().join("log");
     let mut bytes = fs::read(&path).expect("read");
-    let torn = bytes[bytes.len() - 30..bytes.len() - 10].to_vec();
-    bytes.extend_from_slice(&torn);
+    let torn_frame = bytes[bytes.len() - 30..bytes.len() - 10].to_vec();
+    bytes.extend_from_slice(&torn_frame);
     fs::write(&path, &bytes).expect("written");
     assert_eq!(last_index(folder.path()).expect("opened"), LogIndex(6));
     let (mut store, _, _) = LogStore::open(folder.path()).expect("opened");
@@ -49,58 +49,61 @@
     assert_eq!(last_index(folder.path()).expect("opened"), LogIndex(7));
 }
 
-/// A disk flips a bit in the middle of the log. Cutting the log there would forget entries that
-/// were acknowledged, and this member's vote could elect a leader without them. It must refuse.
+/// A disk flips a bit in the middle of the log. Truncating the log there would drop acknowledged
+/// entries, and this member's vote could elect a leader that lacks them; opening must fail instead.
 #[test]
-fn damage_before_the_end_is_refused() {
+fn a_corrupted_frame_before_the_last_is_an_error() {
     let folder = folder_with_entries();
     let path = folder.path().join("log");
     let mut bytes = fs::read(&path).expect("read");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 0x40;
     fs::write(&path, &bytes).expect("written");
-    assert!(matches!(last_index(folder.path()), Err(StoreError::Damaged { .. })));
+    assert!(matches!(last_index(folder.path()), Err(StoreError::CorruptedLog { .. })));
 }
 
-/// An operator starts a member whose disk was replaced by an empty one. It must not come up as its
-/// former self with an empty log; the message says what to do.
+/// An operator starts a member whose disk was replaced by an empty one. It must not start under its
+/// previous identity with an empty log; the error names the command that initialises the folder.
 #[test]
-fn an_empty_folder_is_no_member() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let error = LogStore::open(folder.path()).expect_err("nothing is here");
+fn an_uninitialised_folder_is_an_error() {
+    let folder = tempfile::tempdir().expect("temporary folder");
+    let error = LogStore::open(folder.path()).expect_err("the folder is not initialised");
     assert!(matches!(error, StoreError::Uninitialised(_)));
     assert!(error.to_string().contains("init --joining"));
 }
 
-/// Somebody founds a group on a folder that holds a member already. Its state must survive.
+/// An operator initialises a folder for a new group although it already belongs to a member. The
+/// member's state must survive.
 #[test]
-fn founding_twice_is_refused() {
+fn an_initialised_folder_cannot_be_bootstrapped_again() {
     let folder = folder_with_entries();
-    let again = LogStore::bootstrap(folder.path(), MemberId(1), GroupId(2), "b", "127.0.0.1:2");
-    assert!(matches!(again, Err(StoreError::AlreadyInitialised(_))));
+    let second = LogStore::bootstrap(folder.path(), MemberId(1), GroupId(2), "b", "127.0.0.1:2");
+    assert!(matches!(second, Err(StoreError::AlreadyInitialised(_))));
     assert_eq!(last_index(folder.path()).expect("opened"), LogIndex(6));
 }
 
-/// Two processes are started on one folder by mistake. The second must not write a byte.
+/// Two processes are started on one folder by mistake. Opening must fail in the second, or both
+/// would write to one log.
 #[test]
-fn a_folder_in_use_is_refused() {
+fn a_folder_that_is_open_cannot_be_opened_again() {
     let folder = folder_with_entries();
-    let held = LogStore::open(folder.path()).expect("opened");
+    let first = LogStore::open(folder.path()).expect("opened");
     assert!(matches!(LogStore::open(folder.path()), Err(StoreError::InUse(_))));
-    drop(held);
+    drop(first);
     assert!(LogStore::open(folder.path()).is_ok());
 }
 
-/// A member dies while it replaces its log by a snapshot, before the rename. The old log counts.
+/// A member crashes while it replaces its log by a snapshot, before the rename. The old log must
+/// stay in effect.
 #[test]
-fn a_snapshot_that_was_not_finished_changes_nothing() {
+fn an_unfinished_snapshot_leaves_the_log_unchanged() {
     let folder = folder_with_entries();
-    fs::write(folder.path().join("log.next"), b"half a snapshot").expect("written");
+    fs::write(folder.path().join("log.next"), b"an incomplete snapshot").expect("written");
     assert_eq!(last_index(folder.path()).expect("opened"), LogIndex(6));
 }
 
 #[test]
-fn a_snapshot_keeps_the_tail_behind_it() {
+fn a_snapshot_keeps_the_entries_after_it() {
     let folder = folder_with_entries();
     let (mut store, _, state) = LogStore::open(folder.path()).expect("opened");
     let image = SnapshotImage {
@@ -109,14 +112,14 @@
         membership: state.snapshot.membership.clone(),
         data: vec![1, 2, 3],
     };
-    let before = store.log_bytes();
+    let bytes_before = store.log_bytes();
     store.write(&[LogWrite::Snapshot { image, keep_tail: true }]).expect("written");
-    assert!(store.log_bytes() < before + 100);
+    assert!(store.log_bytes() < bytes_before + 100);
     drop(store);
     let (_, _, state) = LogStore::open(folder.path()).expect("opened");
     assert_eq!(state.snapshot.data, vec![1, 2, 3]);
-    let kept: Vec<u64> = state.entries.iter().map(|entry| entry.index.0).collect();
-    assert_eq!(kept, vec![5, 6]);
+    let kept_indexes: Vec<u64> = state.entries.iter().map(|entry| entry.index.0).collect();
+    assert_eq!(kept_indexes, vec![5, 6]);
     assert_eq!(
         state.hard_state,
         HardState { group: Some(GroupId(1)), term: Term(1), voted_for: None }
@@ -131,38 +134,40 @@
         ..Config::default()
     })]
 
-    /// Whatever bytes a disk gives back, opening never panics, and a log whose bytes were changed
-    /// anywhere never yields an entry that was not written.
+    /// Opening a log with corrupted, missing or appended bytes never panics and never yields an
+    /// entry that was not written.
     #[test]
-    fn damaged_bytes_are_never_taken_for_entries(
-        at in 0..500_usize,
-        flip in 1..=255_u8,
-        cut in 0..500_usize,
-        junk in proptest::collection::vec(any::<u8>(), 0..40),
+    fn a_corrupted_log_yields_only_written_entries(
+        offset in 0..500_usize,
+        flipped_bits in 1..=255_u8,
+        cut_bytes in 0..500_usize,
+        appended in proptest::collection::vec(any::<u8>(), 0..40),
     ) {
         let folder = folder_with_entries();
         let path = folder.path().join("log");
         let mut bytes = fs::read(&path).expect("read");
-        let place = at % bytes.len();
-        bytes[place] ^= flip;
-        bytes.truncate(bytes.len() - cut % bytes.len());
-        bytes.extend_from_slice(&junk);
+        let offset = offset % bytes.len();
+        bytes[offset] ^= flipped_bits;
+        bytes.truncate(bytes.len() - cut_bytes % bytes.len());
+        bytes.extend_from_slice(&appended);
         fs::write(&path, &bytes).expect("written");
         if let Ok((_, _, state)) = LogStore::open(folder.path()) {
-            for found in state.entries {
-                prop_assert_eq!(&found, &entry(found.index.0));
+            for recovered in state.entries {
+                prop_assert_eq!(&recovered, &entry(recovered.index.0));
             }
         }
     }
 
-    /// Arbitrary bytes are never a catalog by accident of length alone, and never panic.
+    /// Decoding arbitrary bytes as a snapshot of the catalog never panics, and a state that is
+    /// decoded from them is the same after being encoded and decoded again.
     #[test]
-    fn arbitrary_bytes_never_panic_as_a_snapshot(
+    fn decoding_a_snapshot_from_arbitrary_bytes_never_panics(
         bytes in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
         if let Ok(state) = egretseam_catalog::CatalogState::decode(&bytes) {
             prop_assert_eq!(
-                egretseam_catalog::CatalogState::decode(&state.encode()).expect("our own"),
+                egretseam_catalog::CatalogState::decode(&state.encode())
+                    .expect("an encoded state decodes"),
                 state
             );
         }
