--- a/tests/all/group_repair.rs
+++ b/tests/all/group_repair.rs
@@ -1,4 +1,4 @@
-//! How the control group mends itself, as decisions: who is added, promoted and removed.
+//! Automatic repair of the control group: which member is added, promoted or removed next.
 
 use egretseam_control::{JoinTable, RepairPolicy};
 use egretseam_replica::{
@@ -10,25 +10,26 @@
 
 const POLICY: RepairPolicy =
     RepairPolicy { voters: 3, replace_after: Duration::from_millis(2_500) };
-const OWN: MemberId = MemberId(1);
+const LEADER: MemberId = MemberId(1);
 
 fn record(id: u64, host: u64) -> MemberRecord {
     let address = format!("10.0.0.{host}:7700");
     MemberRecord { id: MemberId(id), name: format!("core-{host}"), address, voter: false }
 }
 
-/// The leader's view: peers with the time since they last answered.
-fn status(membership: &Membership, silent: &[(u64, u64)]) -> NodeStatus {
-    let progress = silent.iter().map(|(id, millis)| MemberProgress {
+/// Status of the leader. `silent_millis` pairs the id of each peer with the time since its last
+/// answer in milliseconds.
+fn leader_status(membership: &Membership, silent_millis: &[(u64, u64)]) -> NodeStatus {
+    let progress = silent_millis.iter().map(|(id, millis)| MemberProgress {
         id: MemberId(*id),
         matched: LogIndex(10),
         silent_for: Duration::from_millis(*millis),
     });
     NodeStatus {
-        id: OWN,
+        id: LEADER,
         role: NodeRole::Leader,
         term: Term(2),
-        leader: Some(OWN),
+        leader: Some(LEADER),
         commit: LogIndex(10),
         last: LogIndex(10),
         first: LogIndex(1),
@@ -41,78 +42,84 @@
     Membership::of_voters(vec![record(1, 1), record(2, 2), record(3, 3)])
 }
 
-/// Applies steps until nothing is due; returns them.
-fn mend(
+/// Applies the changes that the repair proposes until it proposes none; returns them.
+fn run_repair(
     joins: &mut JoinTable,
     membership: &mut Membership,
-    silent: &[(u64, u64)],
+    silent_millis: &[(u64, u64)],
 ) -> Vec<MembershipChange> {
-    let mut steps = Vec::new();
-    while let Some(step) = joins.next_change(&status(membership, silent), OWN, Instant::now()) {
-        *membership = membership.with_change(&step).expect("a step that applies");
-        steps.push(step);
-        assert!(steps.len() < 10, "the repair does not come to rest: {steps:?}");
+    let mut changes = Vec::new();
+    while let Some(change) =
+        joins.next_change(&leader_status(membership, silent_millis), LEADER, Instant::now())
+    {
+        *membership = membership.with_change(&change).expect("the change applies");
+        changes.push(change);
+        assert!(changes.len() < 10, "the repair does not converge: {changes:?}");
     }
-    steps
+    changes
 }
 
 #[actix_rt::test]
-async fn a_whole_group_is_left_alone() {
+async fn a_silent_voter_stays_while_no_member_asks_to_join() {
     let mut joins = JoinTable::new(POLICY);
-    assert!(mend(&mut joins, &mut founders(), &[(2, 100), (3, 9_000)]).is_empty());
+    assert!(run_repair(&mut joins, &mut founders(), &[(2, 100), (3, 9_000)]).is_empty());
 }
 
-/// What users would see: a second loss right after a lost disk stops all changes. A member comes
-/// back at its address with an empty disk, as a stranger. It is added first, and its former self
-/// leaves only when it has the log.
+/// A member that lost its disk returns at its old address under a new id. It must be added as a
+/// learner first, and its previous identity removed only after it has caught up. Otherwise one more
+/// loss in between leaves no quorum, and no change can be committed.
 #[actix_rt::test]
-async fn a_member_that_lost_its_disk_replaces_its_former_self() {
+async fn a_member_that_lost_its_disk_replaces_its_previous_identity() {
     let mut joins = JoinTable::new(POLICY);
     let mut membership = founders();
     joins.note(record(9, 3), Instant::now());
-    let steps = mend(&mut joins, &mut membership, &[(2, 100), (3, 300), (9, 100)]);
+    let changes = run_repair(&mut joins, &mut membership, &[(2, 100), (3, 300), (9, 100)]);
     let expected = [
         MembershipChange::AddLearner(record(9, 3)),
         MembershipChange::Remove(MemberId(3)),
         MembershipChange::Promote(MemberId(9)),
     ];
-    assert_eq!(steps, expected);
+    assert_eq!(changes, expected);
     assert_eq!(membership.voters().count(), 3);
 }
 
 #[actix_rt::test]
-async fn a_stranger_waits_until_a_voter_is_lost_for_long() {
+async fn a_learner_replaces_a_voter_only_after_replace_after() {
     let mut joins = JoinTable::new(POLICY);
     let mut membership = founders();
     joins.note(record(4, 4), Instant::now());
-    let early = mend(&mut joins, &mut membership, &[(2, 100), (3, 1_000), (4, 100)]);
-    assert_eq!(early, [MembershipChange::AddLearner(record(4, 4))], "3 may be back in a moment");
-    let late = mend(&mut joins, &mut membership, &[(2, 100), (3, 2_600), (4, 100)]);
+    let changes_before = run_repair(&mut joins, &mut membership, &[(2, 100), (3, 1_000), (4, 100)]);
     assert_eq!(
-        late,
+        changes_before,
+        [MembershipChange::AddLearner(record(4, 4))],
+        "voter 3 has been silent for less than replace_after"
+    );
+    let changes_after = run_repair(&mut joins, &mut membership, &[(2, 100), (3, 2_600), (4, 100)]);
+    assert_eq!(
+        changes_after,
         [MembershipChange::Remove(MemberId(3)), MembershipChange::Promote(MemberId(4))]
     );
 }
 
 #[actix_rt::test]
-async fn a_group_below_its_size_takes_voters_in() {
+async fn a_group_with_too_few_voters_promotes_learners() {
     let policy = RepairPolicy { voters: 5, ..POLICY };
     let mut joins = JoinTable::new(policy);
     let mut membership = founders();
     joins.note(record(4, 4), Instant::now());
     joins.note(record(5, 5), Instant::now());
-    let silent = [(2, 100), (3, 100), (4, 100), (5, 100)];
-    mend(&mut joins, &mut membership, &silent);
+    let silent_millis = [(2, 100), (3, 100), (4, 100), (5, 100)];
+    run_repair(&mut joins, &mut membership, &silent_millis);
     assert_eq!(membership.voters().count(), 5);
 }
 
 #[actix_rt::test]
-async fn learners_that_died_are_dropped_and_removed_members_not_taken_back() {
+async fn an_unreachable_learner_is_removed_and_not_added_again() {
     let mut joins = JoinTable::new(POLICY);
     let mut membership = founders();
     joins.note(record(4, 4), Instant::now());
-    mend(&mut joins, &mut membership, &[(2, 100), (3, 100), (4, 100)]);
-    let silent = [(2, 100), (3, 100), (4, 5_000)];
-    let steps = mend(&mut joins, &mut membership, &silent);
-    assert_eq!(steps, [MembershipChange::Remove(MemberId(4))], "its id never votes or joins again");
+    run_repair(&mut joins, &mut membership, &[(2, 100), (3, 100), (4, 100)]);
+    let silent_millis = [(2, 100), (3, 100), (4, 5_000)];
+    let changes = run_repair(&mut joins, &mut membership, &silent_millis);
+    assert_eq!(changes, [MembershipChange::Remove(MemberId(4))], "a removed id is not added again");
 }
--- a/tests/all/scenarios/group_script.rs
+++ b/tests/all/scenarios/group_script.rs
@@ -1,4 +1,4 @@
-//! Commands over a simulated control group.
+//! Script commands that run a simulated control group.
 
 use super::{number, number_or, text};
 use egretseam_catalog::{
@@ -16,35 +16,35 @@
 
 type Output = Result<String, Box<dyn Error>>;
 
-/// A group and the replies that the script waits for.
+/// A simulated group and the token of the last command submitted to it.
 #[derive(Default)]
 pub(super) struct GroupScript {
     sim: Option<GroupSim>,
-    last: Option<usize>,
+    last_token: Option<usize>,
 }
 
 impl GroupScript {
     fn sim(&mut self) -> Result<&mut GroupSim, Box<dyn Error>> {
-        self.sim.as_mut().ok_or_else(|| "no group yet".into())
+        self.sim.as_mut().ok_or_else(|| "the script has not created a group".into())
     }
 
-    /// The member that `at=` names: a number, or `leader`.
-    fn member(&mut self, command: &Command) -> Result<usize, Box<dyn Error>> {
+    /// The member that the argument `at=` names: a number, or `leader`.
+    fn member_at(&mut self, command: &Command) -> Result<usize, Box<dyn Error>> {
         let name = text(command, "at")?;
         if name == "leader" {
-            return self.sim()?.leader().ok_or_else(|| "nobody leads".into());
+            return self.sim()?.leader().ok_or_else(|| "the group has no leader".into());
         }
         Ok(name.parse()?)
     }
 
     fn submit(&mut self, command: &Command, catalog: CatalogCommand) -> Output {
-        let at = self.member(command)?;
+        let at = self.member_at(command)?;
         let wait = number_or(command, "wait", 1_000)?;
         let sim = self.sim()?;
         let token = sim.submit(at, catalog);
         sim.run(Duration::from_millis(wait));
-        let reply = describe(sim.reply(token));
-        self.last = Some(token);
+        let reply = format_reply(sim.reply(token));
+        self.last_token = Some(token);
         Ok(format!("{reply}\n"))
     }
 
@@ -58,7 +58,7 @@
         self.submit(command, CatalogCommand::Edit(request))
     }
 
-    fn state(&mut self) -> Output {
+    fn print_state(&mut self) -> Output {
         let sim = self.sim()?;
         let mut output = String::new();
         for number in 0..sim.len() {
@@ -87,15 +87,15 @@
         Ok(output)
     }
 
-    fn members(&mut self, command: &Command) -> Output {
-        let at = self.member(command)?;
-        let who = number(command, "member")? as usize;
+    fn change_members(&mut self, command: &Command) -> Output {
+        let at = self.member_at(command)?;
+        let member = number(command, "member")? as usize;
         let sim = self.sim()?;
         let change = match text(command, "step")?.as_str() {
-            "add" => MembershipChange::AddLearner(sim.record(who)),
-            "promote" => MembershipChange::Promote(sim.id(who)),
-            "remove" => MembershipChange::Remove(sim.id(who)),
-            other => return Err(format!("no step {other}").into()),
+            "add" => MembershipChange::AddLearner(sim.record(member)),
+            "promote" => MembershipChange::Promote(sim.id(member)),
+            "remove" => MembershipChange::Remove(sim.id(member)),
+            other => return Err(format!("unknown step {other}").into()),
         };
         let result = sim.change_members(at, &change);
         sim.run(Duration::from_secs(1));
@@ -122,7 +122,7 @@
         let outcome = match text(command, "outcome")?.as_str() {
             "loaded" => SwitchOutcome::Loaded,
             "failed" => SwitchOutcome::Failed { reason: "out of memory".to_owned() },
-            other => return Err(format!("no outcome {other}").into()),
+            other => return Err(format!("unknown outcome {other}").into()),
         };
         let target = InstanceName::try_from(text(command, "target")?)?;
         let fence = FencingNumber(number(command, "fence")?);
@@ -134,7 +134,7 @@
             organisation: OrganisationName::try_from("kehila")?,
             key: RequestKey::try_from(text(command, "key")?)?,
             digest: ChunkDigest::of(text(command, "body")?.as_bytes()),
-            run: run_of(command, "target")?,
+            run: target_run(command, "target")?,
         };
         self.submit(command, CatalogCommand::Claim(vec![request]))
     }
@@ -143,13 +143,13 @@
         let proof = match text(command, "proof")?.as_str() {
             "refused" => RebindProof::RefusedByRun,
             "never-sent" => RebindProof::NeverSent,
-            other => return Err(format!("no proof {other}").into()),
+            other => return Err(format!("unknown proof {other}").into()),
         };
         let request = RebindRequest {
             organisation: OrganisationName::try_from("kehila")?,
             key: RequestKey::try_from(text(command, "key")?)?,
-            from: run_of(command, "from")?,
-            to: run_of(command, "to")?,
+            from: target_run(command, "from")?,
+            to: target_run(command, "to")?,
             proof,
         };
         self.submit(command, CatalogCommand::Rebind(request))
@@ -172,16 +172,16 @@
                 self.sim()?.run(Duration::from_secs(seconds));
             }
             "isolate" => {
-                let at = self.member(command)?;
+                let at = self.member_at(command)?;
                 self.sim()?.isolate(at);
             }
             "heal" => self.sim()?.heal(),
             "crash" => {
-                let at = self.member(command)?;
+                let at = self.member_at(command)?;
                 self.sim()?.crash(at);
             }
             "lose-disk" => {
-                let at = self.member(command)?;
+                let at = self.member_at(command)?;
                 self.sim()?.lose_disk(at);
             }
             "blank" => {
@@ -189,7 +189,7 @@
                 return Ok(format!("member {number} waits to be added\n"));
             }
             "restart" => {
-                let at = self.member(command)?;
+                let at = self.member_at(command)?;
                 self.sim()?.restart(at);
             }
             "restart-all" => {
@@ -200,23 +200,23 @@
                 sim.run(Duration::from_secs(1));
             }
             "compact" => {
-                let at = self.member(command)?;
+                let at = self.member_at(command)?;
                 self.sim()?.compact(at);
             }
             "leaders" => {
                 let count = self.sim()?.leaders().len();
                 return Ok(format!("{count}\n"));
             }
-            "state" => return self.state(),
-            "members" => return self.members(command),
+            "state" => return self.print_state(),
+            "members" => return self.change_members(command),
             "define" => {
                 let name = ProfileName::try_from(text(command, "profile")?)?;
-                let spec = spec(command)?;
+                let spec = profile_spec(command)?;
                 return self.edit(command, ConfigEdit::DefineProfile { name, spec });
             }
             "change" => {
                 let name = ProfileName::try_from(text(command, "profile")?)?;
-                let spec = spec(command)?;
+                let spec = profile_spec(command)?;
                 return self.edit(command, ConfigEdit::ChangeProfile { name, spec });
             }
             "retire" => {
@@ -225,7 +225,7 @@
             }
             "change-many" => {
                 let count = number(command, "count")?;
-                let at = self.member(command)?;
+                let at = self.member_at(command)?;
                 let sim = self.sim()?;
                 for step in 0..count {
                     let name = OrganisationName::try_from(format!("org-{step}"))?;
@@ -245,25 +245,25 @@
                 sim.run(Duration::from_secs(1));
             }
             "reply" => {
-                let token = self.last.ok_or("nothing was submitted")?;
-                return Ok(format!("{}\n", describe(self.sim()?.reply(token))));
+                let token = self.last_token.ok_or("no command was submitted")?;
+                return Ok(format!("{}\n", format_reply(self.sim()?.reply(token))));
             }
             "begin-switch" => return self.begin_switch(command),
             "end-switch" => return self.end_switch(command),
             "claim" => return self.claim(command),
             "rebind" => return self.rebind(command),
-            other => return Err(format!("no command {other}").into()),
+            other => return Err(format!("unknown command {other}").into()),
         }
         Ok(String::new())
     }
 }
 
-/// Timing of the scripts' groups, their own so that recorded times stay when defaults change.
+/// Sets the election timeout explicitly, so that the recorded outputs do not depend on its default.
 fn script_config() -> ReplicaConfig {
     ReplicaConfig { election_timeout: Duration::from_millis(800), ..ReplicaConfig::default() }
 }
 
-fn run_of(command: &Command, name: &str) -> Result<TargetRun, Box<dyn Error>> {
+fn target_run(command: &Command, name: &str) -> Result<TargetRun, Box<dyn Error>> {
     let text = text(command, name)?;
     let (target, run) = text.split_once('#').ok_or("expected TARGET#RUN")?;
     Ok(TargetRun {
@@ -272,7 +272,7 @@
     })
 }
 
-fn spec(command: &Command) -> Result<ProfileSpec, Box<dyn Error>> {
+fn profile_spec(command: &Command) -> Result<ProfileSpec, Box<dyn Error>> {
     let version = text(command, "version")?;
     let weights = WeightsSpec {
         model: ModelName::try_from("assistant")?,
@@ -290,7 +290,7 @@
     })
 }
 
-fn describe(reply: &SimReply) -> String {
+fn format_reply(reply: &SimReply) -> String {
     match reply {
         SimReply::Applied(reply) => format!("{reply:?}"),
         SimReply::Refused(error) => format!("refused: {error}"),
