--- a/crates/serving/src/attempt_limits.rs
+++ b/crates/serving/src/attempt_limits.rs
@@ -1,61 +1,68 @@
-//! How long attempts and waits may take, so that the caller is told before it leaves.
+//! Deadlines of attempts and waits, so that a caller gets an answer before it disconnects.
 //!
-//! Answers the load pattern of targets that freeze right after an outage: requests that were held are
-//! sent to them, and their callers leave after two seconds without an event. A target that has such a
-//! request works for nobody when it is back; told before, its caller may ask again.
+//! Load pattern: targets freeze right after an outage, when requests queued during the outage are
+//! sent to them, and callers of streams disconnect after two seconds without an event. When such a
+//! target resumes, it runs the request for a caller that has left. A caller that gets an error
+//! before it disconnects can retry.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time that an attempt may take to begin its answer while another attempt is allowed, as a
-/// multiple of the latency objective between [`SHORTEST`] and [`LONGEST`]. Beyond it the target hangs;
-/// a busy one answers well before, since nothing is sent to targets that are full.
-const OBJECTIVES: u32 = 4;
-/// Shortest such time, whatever the objective.
-const SHORTEST: Duration = Duration::from_millis(350);
-/// Longest such time.
-const LONGEST: Duration = Duration::from_millis(1_800);
-/// Time that callers of streams stay without an event, at the least, where settings name none: those
-/// of the first two customers leave after 2.0 to 2.4 s.
+/// Time in which an attempt must begin its answer while another attempt is allowed, in multiples of
+/// the latency objective, between [`MIN_ATTEMPT_TIMEOUT`] and [`MAX_ATTEMPT_TIMEOUT`]. A target
+/// that takes longer hangs: a busy one answers well before, since no request is sent to a full one.
+const ATTEMPT_TIMEOUT_OBJECTIVES: u32 = 4;
+/// Lower limit of an attempt's timeout, whatever the objective.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(350);
+/// Upper limit of an attempt's timeout, whatever the objective.
+const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Shortest time that a caller of a stream waits without an event before it disconnects, where the
+/// settings give none. Callers of the first two customers disconnect after 2.0 to 2.4 s.
 pub const DEFAULT_STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Shortest time that an attempt has after a long wait all the same: most first bytes after an outage
-/// come within it.
-const SHORTEST_AFTER_WAIT: Duration = Duration::from_millis(600);
+/// Lower limit of a stream attempt's timeout after a long wait, even if the caller may disconnect
+/// before: most first bytes after an outage arrive within it.
+const MIN_ATTEMPT_TIMEOUT_AFTER_WAIT: Duration = Duration::from_millis(600);
 
-/// What limits the attempts of one request.
+/// Time limits of the attempts of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptLimits {
-    /// Whether its answer is a stream that has not begun, so that its caller leaves early.
+    /// Whether the answer is a stream that has not begun, so that the caller disconnects after
+    /// [`Self::stream_idle_timeout`].
     pub awaits_stream: bool,
-    /// Its latency objective.
+    /// Latency objective of the request's route.
     pub objective: Duration,
-    /// When it came.
+    /// When the entry received the request.
     pub received_at: Instant,
-    /// When its caller's time ends.
+    /// When the caller's timeout or that of the route ends, whichever is sooner.
     pub deadline: Instant,
-    /// How long callers of streams stay without an event.
+    /// How long a caller of a stream waits without an event before it disconnects.
     pub stream_idle_timeout: Duration,
 }
 
 impl AttemptLimits {
-    /// Until when an attempt that is made now must begin its answer, if another may follow.
+    /// Deadline for an attempt made at `now` to begin its answer, if another attempt may follow.
     ///
-    /// Failure guarded: a request was held for the end of an outage and is sent to a target that then
-    /// freezes; its caller leaves before the attempt's own limit.
+    /// Failure guarded: a request queued during an outage is sent to a target that then freezes,
+    /// and its caller disconnects before the attempt times out.
     pub fn attempt_deadline(&self, now: Instant) -> Instant {
-        let usual = (self.objective * OBJECTIVES).clamp(SHORTEST, LONGEST);
-        let stays = self
+        let timeout = (self.objective * ATTEMPT_TIMEOUT_OBJECTIVES)
+            .clamp(MIN_ATTEMPT_TIMEOUT, MAX_ATTEMPT_TIMEOUT);
+        let idle_time_left = self
             .stream_idle_timeout
             .saturating_sub(now.saturating_duration_since(self.received_at));
-        let limit =
-            if self.awaits_stream { usual.min(stays.max(SHORTEST_AFTER_WAIT)) } else { usual };
+        let limit = if self.awaits_stream {
+            timeout.min(idle_time_left.max(MIN_ATTEMPT_TIMEOUT_AFTER_WAIT))
+        } else {
+            timeout
+        };
         (now + limit).min(self.deadline)
     }
 
-    /// Until when it makes sense to wait for another place after a target was tried.
+    /// Deadline for a slot at another target after one was tried.
     ///
-    /// Failure guarded: a target that has the request freezes, and another place is waited for until
-    /// the caller leaves. It showed as 12 of 13 runs that went on after their callers had left.
+    /// Failure guarded: a target that has the request freezes, and the entry waits for another slot
+    /// until the caller disconnects. Seen as 12 of 13 runs that went on after their callers had
+    /// left.
     pub fn wait_deadline(&self) -> Instant {
         if self.awaits_stream {
             self.deadline.min(self.received_at + self.stream_idle_timeout)
--- a/crates/serving/src/config.rs
+++ b/crates/serving/src/config.rs
@@ -1,11 +1,11 @@
-//! The configuration by which requests are served, as checked.
+//! The validated serving configuration.
 
 use egretseam_proto::{ModelName, OrganisationName, ServiceName, ZoneName};
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, time::Duration};
 
-/// What may be repeated on a route.
+/// Which requests of a route may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// A request may run more than once.
@@ -15,13 +15,13 @@
     /// The answer is a stream of events; a request may run at most once, unless streams of the
     /// route may be resumed.
     Stream {
-        /// Whether a stream may go on at another target behind its last event.
+        /// Whether another target may continue a stream after its last event.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have run can be retried.
     pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
@@ -32,48 +32,48 @@
     }
 }
 
-/// One service that a route leads to.
+/// A service that a route sends requests to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Destination {
     /// The service.
     pub service: ServiceName,
-    /// Its part of the requests, relative to the other destinations' weights.
+    /// Share of the requests, relative to the weights of the route's other destinations.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteRecord {
-    /// Name, for logs.
+    /// Name, used in logs.
     pub name: String,
-    /// Host that it applies to.
+    /// Host that the route matches.
     pub host: String,
-    /// Beginning of the paths that it applies to.
+    /// Prefix of the paths that the route matches; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Which requests may run more than once.
     pub kind: RouteKind,
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
-    /// Latency objective: of the whole answer, or of a stream's first event.
+    /// Latency objective: for the complete answer, or for the first event of a stream.
     pub objective: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is served first.
     pub priority: u8,
-    /// Where requests go; weights are not all 0.
+    /// Services that share the requests; at least one weight is above 0.
     pub destinations: Vec<Destination>,
     /// Most targets that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
 }
 
 impl RouteRecord {
-    /// The destination at `point`, a number drawn evenly from all `u32`.
+    /// The destination for `point`, which is drawn uniformly from all `u32` values.
     pub fn destination(&self, point: u32) -> &ServiceName {
         let total: u64 = self.destinations.iter().map(|item| u64::from(item.weight)).sum();
-        let mut left = (u64::from(point) * total) >> 32;
+        let mut remaining = (u64::from(point) * total) >> 32;
         let weighted = self.destinations.iter().find(|item| {
-            let found = left < u64::from(item.weight);
-            left = left.saturating_sub(u64::from(item.weight));
+            let found = remaining < u64::from(item.weight);
+            remaining = remaining.saturating_sub(u64::from(item.weight));
             found
         });
         &weighted.unwrap_or(&self.destinations[0]).service
@@ -83,53 +83,53 @@
 /// The model engines of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// Requests that one engine runs at a time.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
-    /// Models that it may hold.
+    /// Models that an engine may load.
     pub models: Vec<ModelName>,
-    /// Chunks that one version's weights consist of.
+    /// Number of chunks in the weights of one version.
     pub chunks: u32,
-    /// Bytes of one chunk.
+    /// Size of one chunk in bytes.
     pub chunk_bytes: u32,
 }
 
-/// Where weights come from.
+/// The origin of weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginRecord {
-    /// Address.
+    /// Address of the origin.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the origin.
     pub zone: ZoneName,
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// Path of its health check.
+    /// Path of the health check.
     pub health_path: String,
     /// Connections that one target accepts from all callers together; 0 if unlimited.
     pub max_connections: u32,
-    /// Its engines, if it serves models.
+    /// Engines, if the service serves models.
     pub engine: Option<EngineRecord>,
-    /// The origin of weights, if it is one.
+    /// The origin of weights, if this service is one.
     pub origin: Option<OriginRecord>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on the size and time of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head of a request in bytes.
+    /// Largest request head in bytes.
     pub max_head_bytes: usize,
-    /// Largest body of a request in bytes.
+    /// Largest request body in bytes.
     pub max_body_bytes: usize,
     /// How long a caller may take to send a request's head.
     pub head_timeout: Duration,
-    /// How long a kept connection may be idle.
+    /// How long a keep-alive connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// The limits in the platform's examples; they hold until a configuration names others.
+    /// The limits of the platform's examples; in force until a configuration sets others.
     fn default() -> Self {
         Self {
             max_head_bytes: 16 * 1024,
@@ -140,16 +140,16 @@
     }
 }
 
-/// One organisation.
+/// An organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrganisationRecord {
     /// Keys that its callers present.
     pub keys: Vec<String>,
-    /// Rank of its requests, before that of the route.
+    /// Priority of its requests, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// A whole configuration.
+/// A validated configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServingConfig {
     /// Version; the highest is in force.
@@ -160,7 +160,7 @@
     pub services: IndexMap<ServiceName, ServiceRecord>,
     /// Limits for callers.
     pub limits: CallerLimits,
-    /// Organisations; `None` if keys are not asked for.
+    /// Organisations; `None` if requests need no key.
     pub organisations: Option<IndexMap<OrganisationName, OrganisationRecord>>,
 }
 
--- a/crates/serving/src/entries.rs
+++ b/crates/serving/src/entries.rs
@@ -1,4 +1,5 @@
-//! Which entries callers may be sent to, by what control members saw of them.
+//! The roster of entries, built from what entries report to control members, and the addresses
+//! that callers are given.
 
 use crate::status::EntryRecord;
 use egretseam_proto::ZoneName;
@@ -6,31 +7,31 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// Fewest entries in a caller's own availability zone that are enough for it: with one alone, its
-/// loss would leave the caller without an address.
-const ENOUGH_IN_ZONE: usize = 2;
+/// Ready entries in a caller's availability zone from which on it is given only their addresses.
+/// With a single one, its loss would leave the caller without an address.
+const MIN_ENTRIES_IN_ZONE: usize = 2;
 
-/// An entry as last seen.
+/// The latest record of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryObservation {
-    /// What it said.
+    /// What the entry reported.
     pub record: EntryRecord,
-    /// When.
+    /// When it was received.
     pub seen_at: Instant,
 }
 
-/// Entries by name.
+/// Entries by name, with the latest record of each.
 #[derive(Debug, Default)]
 pub struct EntryRoster {
     rows: IndexMap<String, EntryObservation>,
 }
 
 impl EntryRoster {
-    /// Notes what an entry said of itself.
+    /// Applies a record that an entry reported at `seen_at`. Returns whether its record changed.
     pub fn apply(&mut self, record: EntryRecord, seen_at: Instant) -> bool {
         let known = self.rows.get(&record.name);
-        // A stopping entry never becomes ready again in the same run; a late sighting must not
-        // bring it back.
+        // A stopping entry never becomes ready again in the same incarnation, so a delayed record
+        // must not mark it as ready.
         let stale = known.is_some_and(|row| {
             row.record.run == record.run
                 && !row.record.ready
@@ -46,22 +47,22 @@
         changed
     }
 
-    /// The entries of several control members' rosters. Where they differ about an entry, the one
-    /// that has it stopping is right: no run of an entry becomes ready again after that.
+    /// Merges the rosters of several control members. If they differ about an incarnation of an
+    /// entry, the record that is not ready wins, since the incarnation never becomes ready again.
     pub fn merged<'a>(rosters: impl Iterator<Item = &'a Vec<EntryRecord>>, now: Instant) -> Self {
         let mut merged = Self::default();
         for record in rosters.flatten() {
             let known = merged.rows.get(&record.name);
-            let worse = known.is_none_or(|row| row.record.run != record.run || !record.ready);
-            if worse {
-                let sighting = EntryObservation { record: record.clone(), seen_at: now };
-                merged.rows.insert(record.name.clone(), sighting);
+            let supersedes = known.is_none_or(|row| row.record.run != record.run || !record.ready);
+            if supersedes {
+                let observation = EntryObservation { record: record.clone(), seen_at: now };
+                merged.rows.insert(record.name.clone(), observation);
             }
         }
         merged
     }
 
-    /// Forgets entries that were not seen for `limit`. Returns whether any was forgotten.
+    /// Removes entries without a record for `limit`. Returns whether any was removed.
     pub fn expire(&mut self, limit: Duration, now: Instant) -> bool {
         let before = self.rows.len();
         self.rows.retain(|_, row| now.saturating_duration_since(row.seen_at) < limit);
@@ -73,11 +74,11 @@
         self.rows.values()
     }
 
-    /// One entry of each availability zone, in each round the next one.
+    /// One entry of each availability zone, chosen round-robin by `round`.
     ///
-    /// Failure guarded: the entry that passes something on to its zone is frozen or cut off, and its zone
-    /// hears nothing until that is noticed seconds later. With turns the loss of one entry of ten costs
-    /// every tenth round, and nobody has to notice.
+    /// Failure guarded: the entry that forwards data to the others of its zone is frozen or cut
+    /// off, and the zone receives nothing until that is detected seconds later. With round-robin,
+    /// the loss of one entry of ten costs every tenth round and need not be detected.
     pub fn one_per_zone(&self, round: usize) -> impl Iterator<Item = &EntryRecord> {
         let mut zones: IndexMap<&ZoneName, Vec<&EntryRecord>> = IndexMap::new();
         for row in self.rows.values() {
@@ -86,7 +87,7 @@
         zones.into_values().map(move |entries| entries[round % entries.len()])
     }
 
-    /// The other entries of an availability zone.
+    /// The entries of an availability zone other than `own_name`.
     pub fn others_in_zone<'a>(
         &'a self,
         zone: &'a ZoneName,
@@ -96,27 +97,31 @@
         records.filter(move |record| record.zone == *zone && record.name != own_name)
     }
 
-    /// How many entries are ready.
+    /// Number of ready entries.
     pub fn ready_count(&self) -> usize {
         self.rows.values().filter(|row| row.record.ready).count()
     }
 
-    /// Addresses for a caller whom the entries of its own `zone` do not answer: those of others.
-    pub fn addresses_outside_zone(&self, zone: Option<&str>, most: usize) -> Vec<SocketAddr> {
+    /// At most `max` addresses of ready entries outside `zone`, for a caller whom the entries of
+    /// its own zone do not answer.
+    pub fn addresses_outside_zone(&self, zone: Option<&str>, max: usize) -> Vec<SocketAddr> {
         let ready = self.rows.values().map(|row| &row.record).filter(|record| record.ready);
-        let elsewhere = ready.filter(|record| zone != Some(record.zone.as_str()));
-        elsewhere.map(|record| record.address).take(most).collect()
+        let outside = ready.filter(|record| zone != Some(record.zone.as_str()));
+        outside.map(|record| record.address).take(max).collect()
     }
 
-    /// Addresses for a caller in `zone`: those of its own zone if they are enough, else all.
-    pub fn addresses(&self, zone: Option<&str>, most: usize) -> Vec<SocketAddr> {
+    /// At most `max` addresses of ready entries for a caller in `zone`: those of its zone if there
+    /// are at least two, else those of all zones.
+    pub fn addresses(&self, zone: Option<&str>, max: usize) -> Vec<SocketAddr> {
         let ready = || self.rows.values().map(|row| &row.record).filter(|record| record.ready);
-        let is_near = |own: &ZoneName| zone == Some(own.as_str());
-        let near: Vec<SocketAddr> =
-            ready().filter(|record| is_near(&record.zone)).map(|record| record.address).collect();
-        if near.len() >= ENOUGH_IN_ZONE {
-            return near.into_iter().take(most).collect();
+        let is_same_zone = |own: &ZoneName| zone == Some(own.as_str());
+        let same_zone: Vec<SocketAddr> = ready()
+            .filter(|record| is_same_zone(&record.zone))
+            .map(|record| record.address)
+            .collect();
+        if same_zone.len() >= MIN_ENTRIES_IN_ZONE {
+            return same_zone.into_iter().take(max).collect();
         }
-        ready().map(|record| record.address).take(most).collect()
+        ready().map(|record| record.address).take(max).collect()
     }
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,21 +1,25 @@
-//! What the entries, control and agents of a fleet without gates believe, and what they decide.
+//! State and decision logic of the entries, control members and agents of a fleet without gates.
 //!
-//! Free of I/O; time comes in as an argument. The tables:
+//! Free of I/O; the current time is passed in as an argument. The main types:
 //!
-//! - [`ServingConfig`]: the configuration that operators replace as a whole, checked once by
-//!   [`ServingConfig::try_from`]; [`RouteTable`] finds the route and the organisation of a request.
-//! - [`ConfigHolder`]: the configuration in force at an entry, and what it asks control for.
-//! - [`TargetRegistry`]: at control, what targets announce of themselves, with numbered changes so
-//!   that readers fetch only news.
-//! - [`TargetTable`]: at an entry, the merged news of all control members, beside what the entry's
-//!   own requests showed; [`TargetTable::choose`] places a request.
-//! - [`WaitQueue`]: where requests wait for a place, and when they are rejected instead.
+//! - [`ServingConfig`]: the configuration, which operators replace as a whole and which
+//!   [`ServingConfig::try_from`] validates once; [`RouteTable`] looks up the route and the
+//!   organisation of a request.
+//! - [`ConfigHolder`]: the configuration in force at an entry, and what the entry requests from
+//!   control.
+//! - [`TargetRegistry`]: at control, the announcements of targets, with numbered changes so that
+//!   readers fetch only what they have not seen.
+//! - [`TargetTable`]: at an entry, the merged updates of all control members and the outcomes of
+//!   the entry's own requests; [`TargetTable::choose`] places a request.
+//! - [`WaitQueue`]: requests that wait for a slot, and when they are rejected instead.
 //! - [`PeerList`]: at control, the agents that exchange chunks, with numbered changes.
 //! - [`PatienceTable`]: how long a caller has been trying.
-//! - [`AttemptLimits`]: how long attempts and waits may take before the caller leaves.
-//! - [`RetryBudget`]: the entry's part of the repeats that a service may get.
+//! - [`AttemptLimits`]: deadlines of attempts and waits, set before the caller disconnects.
+//! - [`RetryBudget`]: the entry's share of a service's retry budget.
+//! - [`RosterBatcher`]: when a changed list of entries is sent.
 //! - [`EntryRoster`]: which entries callers may be sent to.
-//! - [`SwitchSchedule`]: when an instance may take new weights, so that not all do so at once.
+//! - [`SwitchSchedule`]: when an instance may load new weights, so that not all do so at once.
+//! - [`OlderVersionPolicy`]: when an instance loads a superseded version.
 
 mod attempt_limits;
 mod config;
--- a/crates/serving/src/raw.rs
+++ b/crates/serving/src/raw.rs
@@ -1,4 +1,4 @@
-//! A configuration as an operator sends it, and the rules it must keep.
+//! A configuration as an operator sends it, and its validation.
 
 use crate::config::{
     CallerLimits, Destination, EngineRecord, OrganisationRecord, OriginRecord, RouteKind,
@@ -9,21 +9,21 @@
 use std::{net::SocketAddr, time::Duration};
 use thiserror::Error;
 
-/// Objective of a route that names none.
+/// Latency objective of a route without one.
 const DEFAULT_OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// Why a configuration is refused.
+/// Why a configuration is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ConfigError {
-    /// A route leads to a service that the configuration does not hold.
+    /// A route names a service that the configuration does not define.
     #[error("route {route}: no service {service}")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The missing service.
+        /// Name of the undefined service.
         service: String,
     },
-    /// Two routes apply to the same requests.
+    /// Two routes match the same requests.
     #[error("routes {0} and {1} have the same host and prefix")]
     DuplicateRoute(String, String),
     /// A route's weights add up to 0.
@@ -38,15 +38,15 @@
     /// Two organisations share a key.
     #[error("organisations {0} and {1} share a key")]
     SharedKey(String, String),
-    /// An organisation or a service stands there twice.
+    /// Two organisations or two services have the same name.
     #[error("{0} stands there twice")]
     DuplicateName(String),
-    /// A name that cannot be used.
+    /// A name is invalid.
     #[error(transparent)]
     Name(#[from] NameError),
 }
 
-/// A route as sent.
+/// A route, not validated.
 #[derive(Clone, Debug, Default)]
 pub struct RawRoute {
     /// Name.
@@ -55,23 +55,23 @@
     pub host: String,
     /// Path prefix.
     pub prefix: String,
-    /// Kind, with resumption already worked in.
+    /// Kind, including whether streams are resumable; non-idempotent if absent.
     pub kind: Option<RouteKind>,
-    /// Timeout in milliseconds.
+    /// Timeout in milliseconds; must not be 0.
     pub timeout_millis: u64,
-    /// Objective in milliseconds.
+    /// Latency objective in milliseconds.
     pub objective_millis: Option<u64>,
-    /// Rank.
+    /// Priority; 0 is served first.
     pub priority: u8,
     /// Destinations.
     pub destinations: Vec<RawDestination>,
-    /// Most targets for one request.
+    /// Most targets that one request may be sent to; 1 if absent.
     pub max_attempts: Option<u32>,
-    /// Whether no key is needed.
+    /// Whether requests are accepted without a key.
     pub public: bool,
 }
 
-/// A destination as sent.
+/// A destination, not validated.
 #[derive(Clone, Debug)]
 pub struct RawDestination {
     /// Service.
@@ -80,20 +80,20 @@
     pub weight: u32,
 }
 
-/// Engines as sent.
+/// The engines of a service, not validated.
 #[derive(Clone, Debug)]
 pub struct RawEngine {
-    /// Requests at a time.
+    /// Requests that one engine runs concurrently.
     pub slots: u32,
-    /// Models.
+    /// Models that an engine may load.
     pub models: Vec<String>,
-    /// Chunks of a version.
+    /// Number of chunks in the weights of one version.
     pub chunks: u32,
-    /// Bytes of a chunk.
+    /// Size of one chunk in bytes.
     pub chunk_bytes: u32,
 }
 
-/// An origin as sent.
+/// An origin of weights, not validated.
 #[derive(Clone, Debug)]
 pub struct RawOrigin {
     /// Address.
@@ -102,14 +102,14 @@
     pub zone: String,
 }
 
-/// A service as sent.
+/// A service, not validated.
 #[derive(Clone, Debug)]
 pub struct RawService {
     /// Name.
     pub name: String,
     /// Path of the health check.
     pub health_path: String,
-    /// Most connections.
+    /// Connections that one target accepts from all callers together; 0 if unlimited.
     pub max_connections: u32,
     /// Engines.
     pub engine: Option<RawEngine>,
@@ -117,31 +117,31 @@
     pub origin: Option<RawOrigin>,
 }
 
-/// Limits as sent; what is missing keeps its default.
+/// Limits for callers; absent ones keep the defaults of [`CallerLimits`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RawLimits {
-    /// Largest head.
+    /// Largest request head in bytes.
     pub max_head_bytes: Option<usize>,
-    /// Largest body.
+    /// Largest request body in bytes.
     pub max_body_bytes: Option<usize>,
-    /// Time for a head in milliseconds.
+    /// Time in milliseconds that a caller may take to send a request's head.
     pub head_timeout_millis: Option<u64>,
-    /// Idle time in milliseconds.
+    /// Time in milliseconds that a keep-alive connection may be idle.
     pub idle_timeout_millis: Option<u64>,
 }
 
-/// An organisation as sent.
+/// An organisation, not validated.
 #[derive(Clone, Debug)]
 pub struct RawOrganisation {
     /// Name.
     pub name: String,
     /// Keys.
     pub keys: Vec<String>,
-    /// Rank.
+    /// Priority, which overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// A configuration as sent.
+/// A configuration, not validated.
 #[derive(Clone, Debug, Default)]
 pub struct RawServing {
     /// Version.
@@ -152,7 +152,7 @@
     pub services: Vec<RawService>,
     /// Limits.
     pub limits: RawLimits,
-    /// Organisations, if any are named.
+    /// Organisations; `None` if requests need no key.
     pub organisations: Option<Vec<RawOrganisation>>,
 }
 
@@ -169,13 +169,13 @@
 }
 
 fn check_limits(raw: RawLimits) -> CallerLimits {
-    let usual = CallerLimits::default();
-    let millis = |value: Option<u64>, usual| value.map_or(usual, Duration::from_millis);
+    let defaults = CallerLimits::default();
+    let millis = |value: Option<u64>, default| value.map_or(default, Duration::from_millis);
     CallerLimits {
-        max_head_bytes: raw.max_head_bytes.unwrap_or(usual.max_head_bytes),
-        max_body_bytes: raw.max_body_bytes.unwrap_or(usual.max_body_bytes),
-        head_timeout: millis(raw.head_timeout_millis, usual.head_timeout),
-        idle_timeout: millis(raw.idle_timeout_millis, usual.idle_timeout),
+        max_head_bytes: raw.max_head_bytes.unwrap_or(defaults.max_head_bytes),
+        max_body_bytes: raw.max_body_bytes.unwrap_or(defaults.max_body_bytes),
+        head_timeout: millis(raw.head_timeout_millis, defaults.head_timeout),
+        idle_timeout: millis(raw.idle_timeout_millis, defaults.idle_timeout),
     }
 }
 
@@ -213,11 +213,11 @@
     raw: Vec<RawRoute>,
     services: &IndexMap<ServiceName, ServiceRecord>,
 ) -> Result<Vec<RouteRecord>, ConfigError> {
-    let mut places: IndexMap<(String, String), String> = IndexMap::new();
+    let mut names_by_match: IndexMap<(String, String), String> = IndexMap::new();
     let mut routes = Vec::with_capacity(raw.len());
     for route in raw {
-        let place = (route.host.to_ascii_lowercase(), route.prefix.clone());
-        if let Some(other) = places.insert(place, route.name.clone()) {
+        let host_and_prefix = (route.host.to_ascii_lowercase(), route.prefix.clone());
+        if let Some(other) = names_by_match.insert(host_and_prefix, route.name.clone()) {
             return Err(ConfigError::DuplicateRoute(other, route.name));
         }
         routes.push(check_route(route, services)?);
@@ -275,18 +275,20 @@
 fn check_organisations(
     raw: Vec<RawOrganisation>,
 ) -> Result<IndexMap<OrganisationName, OrganisationRecord>, ConfigError> {
-    let mut holders: IndexMap<String, String> = IndexMap::new();
+    let mut names_by_key: IndexMap<String, String> = IndexMap::new();
     let mut organisations = IndexMap::new();
     for organisation in raw {
-        let own: IndexSet<String> = organisation.keys.into_iter().collect();
-        for key in &own {
-            if let Some(other) = holders.insert(key.clone(), organisation.name.clone()) {
+        let keys: IndexSet<String> = organisation.keys.into_iter().collect();
+        for key in &keys {
+            if let Some(other) = names_by_key.insert(key.clone(), organisation.name.clone()) {
                 return Err(ConfigError::SharedKey(other, organisation.name));
             }
         }
         let name = OrganisationName::try_from(organisation.name)?;
-        let record =
-            OrganisationRecord { keys: own.into_iter().collect(), priority: organisation.priority };
+        let record = OrganisationRecord {
+            keys: keys.into_iter().collect(),
+            priority: organisation.priority,
+        };
         if organisations.contains_key(&name) {
             return Err(ConfigError::DuplicateName(name.to_string()));
         }
--- a/crates/serving/src/retry_budget.rs
+++ b/crates/serving/src/retry_budget.rs
@@ -1,26 +1,26 @@
-//! The part of the shared retry budget that one entry may spend.
+//! One entry's share of a retry budget that all entries share.
 //!
-//! All entries together may repeat a fixed part of a service's requests in any window. No call is
-//! made for a repeat: each entry spends only its own part, worked out from its own requests and
-//! the number of entries, and keeps a margin for entries that are not known to each other yet.
+//! All entries together may retry a fixed fraction of a service's requests in any window. They do
+//! not coordinate retries: each entry computes its share from its own requests and the number of
+//! entries, and keeps a margin for entries that do not know of each other yet.
 
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
 
-/// Width of the steps in which a window slides.
-const STEP: Duration = Duration::from_millis(500);
+/// Width of the steps in which the window slides.
+const WINDOW_STEP: Duration = Duration::from_millis(500);
 
-/// What all entries together may spend.
+/// The retry budget of a service, for all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats in each window besides.
+    /// Retries allowed in each window in addition.
     pub minimum: u32,
-    /// Window.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// Part of the budget that is spent at most, so that a sliding window that is cut otherwise
-    /// than ours still holds.
+    /// Fraction of the budget that is spent at most, so that windows that start at other times than
+    /// the steps of this one stay within the budget too.
     pub margin: f64,
 }
 
@@ -34,10 +34,10 @@
 struct WindowStep {
     start: Instant,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Requests and repeats of one service in the sliding window.
+/// Requests and retries of one service in the sliding window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     policy: RetryPolicy,
@@ -55,17 +55,18 @@
         self.step(now).requests += 1;
     }
 
-    /// Takes one repeat out of the budget, if there is one, with `entries` sharing it.
+    /// Spends one retry of the budget, which `entries` entries share. Returns whether the budget
+    /// allowed it.
     pub fn spend(&mut self, entries: usize, now: Instant) -> bool {
         self.step(now);
         let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
-        let spent: u32 = self.steps.iter().map(|step| step.repeats).sum();
+        let spent: u32 = self.steps.iter().map(|step| step.retries).sum();
         let fixed = f64::from(self.policy.minimum) / entries.max(1) as f64;
         let allowed = (f64::from(requests) * self.policy.ratio + fixed) * self.policy.margin;
         if f64::from(spent + 1) > allowed {
             return false;
         }
-        self.step(now).repeats += 1;
+        self.step(now).retries += 1;
         true
     }
 
@@ -77,10 +78,12 @@
         {
             self.steps.pop_front();
         }
-        let current =
-            self.steps.back().is_some_and(|step| now.saturating_duration_since(step.start) < STEP);
+        let current = self
+            .steps
+            .back()
+            .is_some_and(|step| now.saturating_duration_since(step.start) < WINDOW_STEP);
         if !current {
-            self.steps.push_back(WindowStep { start: now, requests: 0, repeats: 0 });
+            self.steps.push_back(WindowStep { start: now, requests: 0, retries: 0 });
         }
         self.steps.back_mut().expect("a step was just pushed")
     }
--- a/crates/serving/src/status.rs
+++ b/crates/serving/src/status.rs
@@ -1,12 +1,12 @@
-//! What processes tell each other about targets, engines and entries.
+//! Records and status of targets, engines and entries, as processes exchange them.
 
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::{fmt, net::SocketAddr};
 
-/// Start of one run of a target, in Unix milliseconds by its own clock; later runs have higher
-/// numbers. [`Incarnation::UNSTATED`] is that of targets that do not say when they started, so
-/// that all their runs under one name count as one.
+/// Incarnation of a target: when its process started, in Unix milliseconds by the target's clock;
+/// later incarnations have higher numbers. Targets that do not report a start time have
+/// [`Incarnation::UNSTATED`], so all their incarnations under one name count as one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -14,10 +14,10 @@
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Incarnation of a target that does not state its start.
+    /// Incarnation of a target that does not report its start time.
     pub const UNSTATED: Self = Self(0);
 
-    /// The run that started at that Unix millisecond.
+    /// The incarnation that started at `unix_millis`.
     pub fn started_at(unix_millis: u64) -> Self {
         Self(unix_millis)
     }
@@ -29,23 +29,23 @@
     }
 }
 
-/// Identity of one run of a target. A target may start again under the name that it had; whatever
-/// is kept by this identity is therefore never carried over from one run to the next.
+/// Identity of one incarnation of a target. A target may restart under the same name, so state
+/// keyed by this identity is never carried over from one incarnation to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TargetId {
-    /// Name that the target goes by; sent along with requests.
+    /// Name of the target; sent along with requests.
     pub name: String,
-    /// Which of the runs under that name.
+    /// Which incarnation of that name.
     pub incarnation: Incarnation,
 }
 
 impl TargetId {
-    /// A run of a target under `name`.
+    /// The identity of that incarnation of the target `name`.
     pub fn new(name: impl Into<String>, incarnation: Incarnation) -> Self {
         Self { name: name.into(), incarnation }
     }
 
-    /// A target that does not state its start.
+    /// The identity of a target that does not report its start time.
     pub fn unstated(name: impl Into<String>) -> Self {
         Self::new(name, Incarnation::UNSTATED)
     }
@@ -61,16 +61,17 @@
     }
 }
 
-/// Whether a target takes requests. Later states are never left for earlier ones.
+/// Whether a target accepts requests. An incarnation never returns to an earlier
+/// state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum TargetState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has.
+    /// Finishes its requests and accepts no new ones.
     Draining,
 }
 
-/// A model that an engine holds whole.
+/// A model that an engine has loaded completely.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldModel {
     /// The model.
@@ -79,80 +80,80 @@
     pub version: u64,
 }
 
-/// What a target says of itself.
+/// What a target announces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRecord {
     /// Identity.
     pub id: TargetId,
     /// Service.
     pub service: ServiceName,
-    /// Where it answers.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: ZoneName,
-    /// Requests that it runs at a time.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: TargetState,
-    /// Number of the announcement; grows with each.
+    /// Sequence number of the announcement; increases with each one of an incarnation.
     pub sequence: u64,
-    /// Milliseconds that it stays slow after its start, from the announcement on.
+    /// Milliseconds from the announcement on for which it is still slow after its start.
     pub cold_millis: u64,
     /// Models that it holds.
     pub models: Vec<HeldModel>,
 }
 
-/// A target as a control member passes it on.
+/// A target's record as a control member forwards it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// What it said.
+    /// What the target announced.
     pub record: TargetRecord,
     /// Whether its announcements have stopped coming.
     pub silent: bool,
-    /// Milliseconds since it said so.
+    /// Milliseconds since the latest announcement.
     pub age_millis: u64,
 }
 
-/// What an agent sees of the engine beside it; fresher than the engine's own announcements.
+/// What an agent observes of its engine; more recent than the engine's announcements.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
     /// The engine's address.
     pub address: SocketAddr,
-    /// Which run of the engine was seen, if it says so.
+    /// Incarnation of the engine that was observed, if the engine reports it.
     pub incarnation: Incarnation,
     /// Models that it holds.
     pub models: Vec<HeldModel>,
-    /// Whether it is taking weights and accepts no request.
+    /// Whether it is loading weights and accepts no requests.
     pub loading: bool,
-    /// Whether the engine lacks wanted weights of which no chunk comes any more.
+    /// Whether the engine lacks the wanted weights and their chunks have stopped arriving.
     pub stalled: bool,
-    /// Milliseconds that requests are on their way over the instance's link, where that is unusual.
+    /// Delay of requests on the instance's link in milliseconds, if it is unusual.
     pub link_delay_millis: u64,
-    /// Milliseconds since that was so.
+    /// Milliseconds since the observation.
     pub age_millis: u64,
 }
 
-/// A version of a model that operators have named.
+/// A version of a model that operators have published.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedVersion {
     /// The model.
     pub model: ModelName,
     /// The version.
     pub version: u64,
-    /// Milliseconds since the sender learned of it.
+    /// Milliseconds since the sender learned of the version.
     pub age_millis: u64,
 }
 
-/// An entry as it tells control.
+/// What an entry reports to control.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRecord {
     /// Instance name.
     pub name: String,
-    /// Run of the process.
+    /// Incarnation of the process.
     pub run: u64,
     /// Availability zone.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub address: SocketAddr,
     /// Whether callers may be sent to it.
     pub ready: bool,
--- a/crates/serving/src/switch_schedule.rs
+++ b/crates/serving/src/switch_schedule.rs
@@ -1,96 +1,101 @@
-//! When an instance may take new weights.
+//! When an instance may load new weights.
 //!
-//! Answers the load pattern of a version change under full load: an engine that takes weights
-//! accepts nothing until its running answers are done, so all engines at once would leave nobody
-//! to serve. Each instance takes its turn by its rank among the peers, spread over the time from
-//! when its chunks are there, as they are at the others about then, to when the old version must
-//! not be used any more. So the turns are spread however long the transfer takes; from a moment
-//! fixed beforehand, all whose turns a long transfer has passed would go at once.
+//! Load pattern: a version change under full load. An engine that loads weights accepts no requests
+//! until its running answers have ended, so if all engines loaded at once, none would serve. The
+//! instances switch one after the other by their rank, spread over the time from when an instance
+//! has all chunks, which is about the same at all of them, until the old version must no longer be
+//! used. This spreads the switches however long the transfer takes; with start times fixed in
+//! advance, all instances whose times pass during a long transfer would switch at once.
 
 use std::time::Duration;
 
 /// Times of a version change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwitchTiming {
-    /// Time from naming a version until no request may begin on an older one.
+    /// Time from publishing a version until no request may begin on an older one.
     pub staleness_bound: Duration,
-    /// Time kept free before the bound for the last answers to end and the weights to load.
+    /// Time reserved before the end of the staleness bound for the last answers to end and the
+    /// weights to load.
     pub reserve: Duration,
 }
 
-/// Before the bound on the version in use, the time in which engines take an older version: the more,
-/// the fewer are out of service at a time; the less, the surer it is that the newest is late.
-const OLDER_SPREAD: Duration = Duration::from_millis(2_000);
-/// Time before a version's bound from which entries send nothing to it any more: what is on its way
-/// or waits in an engine must begin before.
-const LEAVE_AHEAD: Duration = Duration::from_millis(1_200);
-/// Time from the order to the first request on a version.
-const TAKING: Duration = Duration::from_millis(500);
-/// How much later than the end of the version in use the newest must be for the older one to be worth
-/// a switch. With less, engines that took one after the other within a second served less than those
-/// that waited.
-const WORTH_BRIDGING: Duration = Duration::from_millis(1_500);
-/// Shortest use that is worth a switch, which takes an engine out of service for about as long.
-const SHORTEST_USE: Duration = Duration::from_millis(800);
+/// Time over which engines switch to the older version; it ends [`SwitchTiming::reserve`] before
+/// the version in use must be left. If longer, fewer engines are out of service at a time; if
+/// shorter, it is more certain at the first switch that the newest version is late.
+const OLDER_SWITCH_SPREAD: Duration = Duration::from_millis(2_000);
+/// Time before the end of a version's staleness bound at which entries stop sending requests to it:
+/// requests in flight or queued in an engine must begin before the end.
+const LAST_REQUEST_MARGIN: Duration = Duration::from_millis(1_200);
+/// Time from the order to load a version until the first request runs on it.
+const LOAD_TIME: Duration = Duration::from_millis(500);
+/// How long after the end of the version in use the newest must be expected for the older one to be
+/// worth a switch. With a shorter gap, engines that loaded one after the other within a second
+/// served less than those that waited.
+const MIN_GAP: Duration = Duration::from_millis(1_500);
+/// Shortest use of the older version that is worth a switch, which takes an engine out of service
+/// for about as long.
+const MIN_OLDER_USE: Duration = Duration::from_millis(800);
 
-/// What an agent knows when it weighs an older version that it holds whole.
+/// What an agent knows when it decides on a superseded version whose chunks it has all.
 #[derive(Clone, Copy, Debug)]
 pub struct OlderVersionState {
-    /// Time since the older version was named.
+    /// Time since the older version was published.
     pub since_published: Duration,
-    /// Time since the newest was.
+    /// Time since the newest version was published.
     pub since_newest_published: Duration,
-    /// When all chunks of the newest are expected here, if they keep coming.
+    /// Time until this instance is expected to have all chunks of the newest version, if they are
+    /// arriving.
     pub newest_complete_in: Option<Duration>,
-    /// Whether the engine holds any version at present.
+    /// Whether the engine has any version loaded.
     pub serves: bool,
-    /// This instance's turn among all.
+    /// Rank of this instance in the order in which the service's instances switch.
     pub rank: usize,
-    /// Instances of the service.
+    /// Number of instances of the service.
     pub count: usize,
 }
 
-/// When a version that a newer one has overtaken is worth a switch of its own.
+/// When an engine loads a superseded version.
 ///
-/// Answers the load pattern of two versions named within seconds of each other while the origin of
-/// weights goes away: the first can be completed from other instances, the second cannot. From the
-/// first's bound on nobody may serve the version in use, so engines take the first shortly before,
-/// unless the second will be here in time, and serve it until the second's own bound.
+/// Load pattern: two versions are published within seconds of each other and the origin of weights
+/// becomes unreachable: the first can be completed from other instances, the second cannot. After
+/// the first's staleness bound no engine may serve the version in use, so engines load the first
+/// shortly before, unless the second will arrive in time, and serve it until the second's bound.
 #[derive(Clone, Copy, Debug)]
 pub struct OlderVersionPolicy {
     timing: SwitchTiming,
 }
 
 impl OlderVersionPolicy {
-    /// The rule with those times.
+    /// A policy with those times.
     pub fn new(timing: SwitchTiming) -> Self {
         Self { timing }
     }
 
-    /// Whether an engine should take the older version now.
-    pub fn should_switch(&self, view: &OlderVersionState) -> bool {
-        let usable = self.timing.staleness_bound.saturating_sub(LEAVE_AHEAD);
-        let use_left = usable.saturating_sub(view.since_newest_published + TAKING);
-        if use_left < SHORTEST_USE {
+    /// Whether the engine should load the older version now.
+    pub fn should_switch(&self, state: &OlderVersionState) -> bool {
+        let usable_for = self.timing.staleness_bound.saturating_sub(LAST_REQUEST_MARGIN);
+        let use_left = usable_for.saturating_sub(state.since_newest_published + LOAD_TIME);
+        if use_left < MIN_OLDER_USE {
             return false;
         }
-        let leave_in = usable.saturating_sub(view.since_published);
-        let in_time = if view.serves { leave_in + WORTH_BRIDGING } else { TAKING };
-        if view.newest_complete_in.is_some_and(|whole_in| whole_in <= in_time) {
+        let current_use_left = usable_for.saturating_sub(state.since_published);
+        let max_wait = if state.serves { current_use_left + MIN_GAP } else { LOAD_TIME };
+        if state.newest_complete_in.is_some_and(|complete_in| complete_in <= max_wait) {
             return false;
         }
-        !view.serves || view.since_published >= self.turn(view)
+        !state.serves || state.since_published >= self.switch_offset(state)
     }
 
-    /// Time after the older version was named at which an instance may take it.
-    fn turn(&self, view: &OlderVersionState) -> Duration {
-        let last = self.timing.staleness_bound.saturating_sub(self.timing.reserve);
-        let part = view.rank as f64 / view.count.max(1) as f64;
-        last.saturating_sub(OLDER_SPREAD) + OLDER_SPREAD.min(last).mul_f64(part)
+    /// Time after the older version's publication at which the instance may load it.
+    fn switch_offset(&self, state: &OlderVersionState) -> Duration {
+        let latest = self.timing.staleness_bound.saturating_sub(self.timing.reserve);
+        let fraction = state.rank as f64 / state.count.max(1) as f64;
+        latest.saturating_sub(OLDER_SWITCH_SPREAD)
+            + OLDER_SWITCH_SPREAD.min(latest).mul_f64(fraction)
     }
 }
 
-/// Turns of the instances of one service.
+/// Spreads the switches of the instances of one service over time.
 #[derive(Clone, Copy, Debug)]
 pub struct SwitchSchedule {
     timing: SwitchTiming,
@@ -102,11 +107,11 @@
         Self { timing }
     }
 
-    /// Time after naming at which the instance of `rank` among `count` may switch whose chunks were
-    /// all there so long after naming.
+    /// Time after publication at which the instance with `rank` among `count` may switch, if it had
+    /// all chunks at the time `ready` after publication.
     pub fn switch_offset(&self, ready: Duration, rank: usize, count: usize) -> Duration {
-        let last = self.timing.staleness_bound.saturating_sub(self.timing.reserve);
-        let part = rank as f64 / count.max(1) as f64;
-        ready + last.saturating_sub(ready).mul_f64(part)
+        let latest = self.timing.staleness_bound.saturating_sub(self.timing.reserve);
+        let fraction = rank as f64 / count.max(1) as f64;
+        ready + latest.saturating_sub(ready).mul_f64(fraction)
     }
 }
