--- a/crates/serving/src/registry.rs
+++ b/crates/serving/src/registry.rs
@@ -154,8 +154,8 @@
         self.rows.get(name).map(|row| &row.record.id)
     }
 
-    /// Records that an incarnation of a target has left, including one that announced itself only to
-    /// another member.
+    /// Records that an incarnation of a target has left, including one that announced itself only
+    /// to another member.
     pub fn remove(&mut self, id: &TargetId, now: Instant) -> LeaveOutcome {
         if self.has_left(id) {
             return LeaveOutcome::Gone;
--- a/tests/all/attempt_limits.rs
+++ b/tests/all/attempt_limits.rs
@@ -1,11 +1,11 @@
-//! How long attempts and waits of a request may take.
+//! Deadlines of a request's attempts and waits.
 
 use egretseam_serving::{AttemptLimits, DEFAULT_STREAM_IDLE_TIMEOUT};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Without an event callers of streams leave after so long.
-const CALLERS_LEAVE: Duration = Duration::from_millis(2_400);
+/// Time without an event after which callers of streams disconnect.
+const CALLER_DISCONNECT: Duration = Duration::from_millis(2_400);
 
 fn limits(awaits_stream: bool, received_at: Instant) -> AttemptLimits {
     AttemptLimits {
@@ -17,25 +17,27 @@
     }
 }
 
-/// What operators would see: targets at work for callers that have left. After an outage of 1.5 s a
-/// held request goes to a target that freezes at once; or one that was tried waits for another place.
-/// Whenever it was sent, its caller is told before it leaves.
+/// Guards against targets that run requests of callers that have left. A request queued for up to
+/// 1.5 s during an outage is sent to a target that freezes at once, or waits for a slot at another
+/// target after its first attempt. Whenever it was sent, its caller must get an answer before it
+/// disconnects.
 #[actix_rt::test]
-async fn callers_of_streams_are_told_before_they_leave() {
+async fn stream_attempts_and_waits_end_before_the_caller_disconnects() {
     let received_at = Instant::now();
     let limits = limits(true, received_at);
-    for held in (0..=1_500).step_by(100).map(Duration::from_millis) {
-        let attempt_ends = limits.attempt_deadline(received_at + held);
-        assert!(attempt_ends < received_at + CALLERS_LEAVE, "held for {held:?}");
-        assert!(attempt_ends >= received_at + held + Duration::from_millis(600));
+    for queued_for in (0..=1_500).step_by(100).map(Duration::from_millis) {
+        let deadline = limits.attempt_deadline(received_at + queued_for);
+        assert!(deadline < received_at + CALLER_DISCONNECT, "queued for {queued_for:?}");
+        assert!(deadline >= received_at + queued_for + Duration::from_millis(600));
     }
-    assert!(limits.wait_deadline() < received_at + CALLERS_LEAVE);
+    assert!(limits.wait_deadline() < received_at + CALLER_DISCONNECT);
 }
 
-/// What users would see: a lookup that fails although its caller waits for seconds more. Only callers
-/// of streams leave early; others stay until their deadline, and so may their attempts and waits.
+/// Guards against a lookup that fails although its caller waits for seconds more. Only callers of
+/// streams disconnect early; others wait until their deadline, so their attempts and waits may
+/// last until then.
 #[actix_rt::test]
-async fn callers_of_whole_answers_stay_until_their_deadline() {
+async fn requests_without_a_stream_may_wait_until_their_deadline() {
     let received_at = Instant::now();
     let limits = limits(false, received_at);
     assert_eq!(limits.wait_deadline(), limits.deadline);
@@ -45,9 +47,9 @@
     assert_eq!(limits.attempt_deadline(last), limits.deadline);
 }
 
-/// Usual waits are as long as before: an attempt has four objectives.
+/// An attempt at a stream that was not queued times out after four latency objectives.
 #[actix_rt::test]
-async fn a_stream_that_was_not_held_has_the_usual_time() {
+async fn a_stream_that_was_not_queued_has_four_objectives() {
     let now = Instant::now();
     assert_eq!(limits(true, now).attempt_deadline(now), now + Duration::from_millis(1_600));
 }
--- a/tests/all/incarnations.rs
+++ b/tests/all/incarnations.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under the name that they had, at control members and at entries.
+//! Targets that restart under the same name, at control members and at entries.
 
 use crate::serving_tables::{choose, held, news};
 use egretseam_proto::{ServiceName, ZoneName};
@@ -10,10 +10,10 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-const SILENCE: Duration = Duration::from_secs(3);
-const FIRST: Incarnation = Incarnation::UNSTATED;
+const SILENCE_LIMIT: Duration = Duration::from_secs(3);
 
-fn run(number: u64) -> Incarnation {
+/// The incarnation with the given number; later numbers started later.
+fn incarnation(number: u64) -> Incarnation {
     Incarnation::started_at(1_790_000_000_000 + number)
 }
 
@@ -47,92 +47,98 @@
     TargetTable::new(PlacementPolicy::default(), ZoneName::try_from("z1").expect("a valid name"))
 }
 
-/// What users would see: a service without targets although one lives. It crashes, starts again
-/// under its name with its sequence counted anew, and every announcement of the new run counts as
-/// a late one of the former run.
+/// Guards against a service without targets although one is running. The target crashes and
+/// restarts under its name with its sequence numbers reset, and every announcement of the new
+/// incarnation counts as a stale one of the previous incarnation.
 #[actix_rt::test]
-async fn a_restart_under_the_same_name_is_taken_with_its_own_sequence() {
+async fn a_restart_under_the_same_name_starts_a_sequence_of_its_own() {
     let now = Instant::now();
-    let mut registry = TargetRegistry::new(SILENCE);
-    registry.announce(ready(run(1), 40), now);
-    assert_eq!(registry.announce(ready(run(2), 1), now), AnnounceOutcome::Accepted);
-    assert_eq!(registry.current("i-1"), Some(&id(run(2))));
-    assert_eq!(registry.gone_since(0), [id(run(1))], "readers are told that the former run ended");
-    // Also one that had left.
-    assert_eq!(registry.remove(&id(run(2)), now), LeaveOutcome::Gone);
-    assert_eq!(registry.announce(ready(run(2), 2), now), AnnounceOutcome::Stale);
-    assert_eq!(registry.announce(ready(run(3), 1), now), AnnounceOutcome::Accepted);
+    let mut registry = TargetRegistry::new(SILENCE_LIMIT);
+    registry.announce(ready(incarnation(1), 40), now);
+    assert_eq!(registry.announce(ready(incarnation(2), 1), now), AnnounceOutcome::Accepted);
+    assert_eq!(registry.current("i-1"), Some(&id(incarnation(2))));
+    assert_eq!(
+        registry.gone_since(0),
+        [id(incarnation(1))],
+        "readers learn that the previous incarnation ended"
+    );
+    // The same holds after the target has left.
+    assert_eq!(registry.remove(&id(incarnation(2)), now), LeaveOutcome::Gone);
+    assert_eq!(registry.announce(ready(incarnation(2), 2), now), AnnounceOutcome::Stale);
+    assert_eq!(registry.announce(ready(incarnation(3), 1), now), AnnounceOutcome::Accepted);
     assert_eq!(registry.live().count(), 1);
 }
 
-/// What users would see: requests at a target that is not there any more, or none at one that is. A
-/// cut holds up the former run's words; they arrive when the new run is known.
+/// Guards against requests to a target that no longer exists, or none to one that does. A network
+/// partition delays the announcements of the previous incarnation; they arrive after those of the
+/// new one.
 #[actix_rt::test]
-async fn a_former_run_changes_nothing_whatever_its_sequence() {
+async fn an_earlier_incarnation_changes_nothing_whatever_its_sequence() {
     let now = Instant::now();
-    let mut registry = TargetRegistry::new(SILENCE);
-    registry.announce(ready(run(2), 1), now);
+    let mut registry = TargetRegistry::new(SILENCE_LIMIT);
+    registry.announce(ready(incarnation(2), 1), now);
     let seen = registry.change_number();
-    let late = record(run(1), 900, TargetState::Draining);
-    assert_eq!(registry.announce(late, now), AnnounceOutcome::Stale);
-    assert_eq!(registry.announce(ready(FIRST, 900), now), AnnounceOutcome::Stale);
-    assert_eq!(registry.remove(&id(run(1)), now), LeaveOutcome::Stale);
-    assert_eq!(registry.change_number(), seen, "readers are told nothing");
+    let delayed = record(incarnation(1), 900, TargetState::Draining);
+    assert_eq!(registry.announce(delayed, now), AnnounceOutcome::Stale);
+    assert_eq!(registry.announce(ready(Incarnation::UNSTATED, 900), now), AnnounceOutcome::Stale);
+    assert_eq!(registry.remove(&id(incarnation(1)), now), LeaveOutcome::Stale);
+    assert_eq!(registry.change_number(), seen, "readers receive no change");
     assert_eq!(registry.live().count(), 1);
 }
 
-/// What users would see: requests sent to an address where nobody answers. Another writer reports
-/// under a good target's name, with another service or address.
+/// Guards against requests to an address that does not answer. Another sender announces itself
+/// under the name of a healthy target, with another service or address.
 #[actix_rt::test]
-async fn a_run_keeps_its_service_and_address() {
+async fn an_incarnation_keeps_its_service_and_address() {
     let now = Instant::now();
-    let mut registry = TargetRegistry::new(SILENCE);
-    registry.announce(ready(run(1), 1), now);
+    let mut registry = TargetRegistry::new(SILENCE_LIMIT);
+    registry.announce(ready(incarnation(1), 1), now);
     let elsewhere =
-        TargetRecord { address: SocketAddr::from(([10, 0, 0, 9], 9)), ..ready(run(1), 2) };
+        TargetRecord { address: SocketAddr::from(([10, 0, 0, 9], 9)), ..ready(incarnation(1), 2) };
     assert_eq!(registry.announce(elsewhere, now), AnnounceOutcome::Conflicting);
     let other = TargetRecord {
         service: ServiceName::try_from("other").expect("a valid name"),
-        ..ready(run(1), 2)
+        ..ready(incarnation(1), 2)
     };
     assert_eq!(registry.announce(other, now), AnnounceOutcome::Conflicting);
-    assert_eq!(registry.announce(ready(run(1), 2), now), AnnounceOutcome::Accepted);
+    assert_eq!(registry.announce(ready(incarnation(1), 2), now), AnnounceOutcome::Accepted);
     assert_eq!(registry.live().next().map(|row| row.address), Some(address()));
 }
 
-/// What users would see: waits at a target that is idle. What an entry knew of the former run, its
-/// requests, load, failures and weights, would count for the new one.
+/// Guards against requests that wait for an idle target. What an entry knows of the previous
+/// incarnation, its requests, load, failures and weights, must not count for the new one.
 #[actix_rt::test]
-async fn nothing_is_carried_over_to_a_new_run() {
+async fn nothing_is_carried_over_to_a_new_incarnation() {
     let now = Instant::now();
     let mut table = empty_table();
-    table.note_target(0, &news(ready(run(1), 7)), now);
+    table.note_target(0, &news(ready(incarnation(1), 7)), now);
     for _ in 0..4 {
-        table.begin(&id(run(1)), now);
+        table.begin(&id(incarnation(1)), now);
     }
-    table.note_load(&id(run(1)), 4, now);
+    table.note_load(&id(incarnation(1)), 4, now);
     assert_eq!(choose(&table, &[], now), Choice::Full);
     let later = now + Duration::from_secs(2);
-    table.note_target(0, &news(ready(run(2), 1)), later);
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(run(2))));
-    // The former run's requests end now; that frees nothing and says nothing of the new run.
+    table.note_target(0, &news(ready(incarnation(2), 1)), later);
+    assert_eq!(choose(&table, &[], later), Choice::Target(id(incarnation(2))));
+    // The previous incarnation's requests end; this frees no slot of the new one and does not count
+    // as its failure.
     for _ in 0..4 {
-        table.begin(&id(run(2)), later);
+        table.begin(&id(incarnation(2)), later);
     }
     for _ in 0..4 {
-        assert!(!table.end(&id(run(1)), AttemptOutcome::Unreachable, later));
+        assert!(!table.end(&id(incarnation(1)), AttemptOutcome::Unreachable, later));
     }
     assert_eq!(choose(&table, &[], later), Choice::Full);
-    // A sample of the former run at the same address is on its way.
-    table.end(&id(run(2)), AttemptOutcome::Answered, later);
+    // A load sample of the previous incarnation at the same address arrives late.
+    table.end(&id(incarnation(2)), AttemptOutcome::Answered, later);
     table.note_load_at(address(), 4, now + Duration::from_secs(1));
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(run(2))));
+    assert_eq!(choose(&table, &[], later), Choice::Target(id(incarnation(2))));
 }
 
-/// What users would see: refusals from an engine that started again without weights, since what an
-/// agent saw of its former run counts as what it holds.
+/// Guards against rejections by an engine that restarted without weights, because an agent's report
+/// on its previous incarnation still counts.
 #[actix_rt::test]
-async fn engines_are_told_apart_by_their_runs() {
+async fn engine_reports_count_for_their_incarnation_only() {
     let now = Instant::now();
     let mut table = empty_table();
     let engine = |incarnation, models| EngineStatus {
@@ -144,116 +150,132 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.note_target(0, &news(ready(run(1), 1)), now);
-    // The engine is seen to have started again before it announces itself.
-    table.note_engine(&engine(run(2), Vec::new()), now);
+    table.note_target(0, &news(ready(incarnation(1), 1)), now);
+    // The agent observes the restart of the engine before the engine announces itself.
+    table.note_engine(&engine(incarnation(2), Vec::new()), now);
     assert_eq!(choose(&table, &[], now), Choice::NoTarget);
-    let empty = TargetRecord { models: Vec::new(), ..ready(run(2), 1) };
+    let empty = TargetRecord { models: Vec::new(), ..ready(incarnation(2), 1) };
     table.note_target(0, &news(empty), now);
-    table.note_engine(&engine(run(1), held(1)), now);
-    assert_eq!(choose(&table, &[], now), Choice::NoTarget, "the former run's weights are gone");
-    table.note_engine(&engine(run(2), held(1)), now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(run(2))));
+    table.note_engine(&engine(incarnation(1), held(1)), now);
+    assert_eq!(
+        choose(&table, &[], now),
+        Choice::NoTarget,
+        "the previous incarnation's weights do not count"
+    );
+    table.note_engine(&engine(incarnation(2), held(1)), now);
+    assert_eq!(choose(&table, &[], now), Choice::Target(id(incarnation(2))));
 }
 
-/// What users would see: a target that is never used again. Its clock stepped back between two
-/// starts, so that the later run looks like the earlier one. It is out for a minute at most.
+/// Guards against a target that is never used again. Its clock steps back between two starts, so
+/// the later incarnation has the lower number. The target must be unused for a minute at most.
 #[actix_rt::test]
-async fn a_clock_that_stepped_back_keeps_a_target_out_for_a_minute_at_most() {
+async fn a_clock_that_stepped_back_disables_a_target_for_a_minute_at_most() {
     let now = Instant::now();
-    let mut registry = TargetRegistry::new(SILENCE);
+    let mut registry = TargetRegistry::new(SILENCE_LIMIT);
     let mut table = empty_table();
-    registry.announce(ready(run(5), 1), now);
+    registry.announce(ready(incarnation(5), 1), now);
     table.note_target(0, &registry.targets_since(0, now)[0], now);
     let mut at = now;
     let mut seen = registry.change_number();
     for sequence in 1..61 {
         at += Duration::from_secs(1);
-        registry.announce(ready(run(3), sequence), at);
+        registry.announce(ready(incarnation(3), sequence), at);
         registry.expire(at);
-        for news in registry.targets_since(seen, at) {
-            table.note_target(0, &news, at);
+        for status in registry.targets_since(seen, at) {
+            table.note_target(0, &status, at);
         }
         seen = registry.change_number();
     }
     at += Duration::from_secs(1);
-    assert_eq!(registry.announce(ready(run(3), 61), at), AnnounceOutcome::Accepted);
+    assert_eq!(registry.announce(ready(incarnation(3), 61), at), AnnounceOutcome::Accepted);
     table.note_target(0, &registry.targets_since(seen, at)[0], at);
-    assert_eq!(choose(&table, &[], at), Choice::Target(id(run(3))));
+    assert_eq!(choose(&table, &[], at), Choice::Target(id(incarnation(3))));
 }
 
-/// A slowness without end would overflow the clock and stop the entry.
+/// Guards against an overflow of the clock, which would abort the entry, if a target announces the
+/// largest possible cold time.
 #[actix_rt::test]
-async fn a_target_that_claims_to_stay_slow_for_ever_stops_nobody() {
+async fn the_largest_cold_time_does_not_overflow() {
     let now = Instant::now();
     let mut table = empty_table();
-    let slow = TargetRecord { cold_millis: u64::MAX, ..ready(run(1), 1) };
+    let slow = TargetRecord { cold_millis: u64::MAX, ..ready(incarnation(1), 1) };
     table.note_target(0, &news(slow), now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(run(1))));
+    assert_eq!(choose(&table, &[], now), Choice::Target(id(incarnation(1))));
 }
 
-/// What a target says, to be delivered to one of the members in any order.
+/// A message of a target to a member.
 #[derive(Clone, Debug)]
-enum Word {
+enum TargetMessage {
     Announce(TargetRecord),
     Leave(TargetId),
 }
 
-/// Three runs of one target; each announces itself twice and drains, and the first two leave.
-fn words() -> Vec<Word> {
-    let mut words = Vec::new();
+/// Messages of three incarnations of one target: each announces itself twice, and the first two
+/// also drain and leave.
+fn messages() -> Vec<TargetMessage> {
+    let mut messages = Vec::new();
     for number in 1..=3 {
-        words.push(Word::Announce(ready(run(number), 1)));
-        words.push(Word::Announce(ready(run(number), 2)));
+        messages.push(TargetMessage::Announce(ready(incarnation(number), 1)));
+        messages.push(TargetMessage::Announce(ready(incarnation(number), 2)));
         if number < 3 {
-            words.push(Word::Announce(record(run(number), 3, TargetState::Draining)));
-            words.push(Word::Leave(id(run(number))));
+            messages.push(TargetMessage::Announce(record(
+                incarnation(number),
+                3,
+                TargetState::Draining,
+            )));
+            messages.push(TargetMessage::Leave(id(incarnation(number))));
         }
     }
-    words
+    messages
 }
 
-/// A word, which of three members hears it, and whether that member restarts before it.
-fn deliveries() -> impl Strategy<Value = Vec<(Word, usize, bool)>> {
-    let order = Just(words()).prop_shuffle();
-    let count = words().len();
+/// Messages in any order; for each, which of three members receives it and whether that member
+/// restarts before.
+fn deliveries() -> impl Strategy<Value = Vec<(TargetMessage, usize, bool)>> {
+    let order = Just(messages()).prop_shuffle();
+    let count = messages().len();
     let members = proptest::collection::vec(0_usize..3, count);
     let restarts = proptest::collection::vec(proptest::bool::weighted(0.1), count);
     (order, members, restarts).prop_map(|(order, members, restarts)| {
-        let places = members.into_iter().zip(restarts);
-        order.into_iter().zip(places).map(|(word, (at, restarts))| (word, at, restarts)).collect()
+        let receivers = members.into_iter().zip(restarts);
+        order
+            .into_iter()
+            .zip(receivers)
+            .map(|(message, (at, restarts))| (message, at, restarts))
+            .collect()
     })
 }
 
 proptest! {
-    /// In whatever order the words of three runs reach three control members, of which some restart
-    /// meanwhile, an entry that reads all of them ends with the last run, ready, and nothing else.
+    /// In whatever order the messages of three incarnations reach three control members, some of
+    /// which restart meanwhile, an entry that reads all members has the last incarnation in the
+    /// end, ready, and no other.
     #[test]
-    fn the_last_run_wins_in_any_order_of_arrival(deliveries in deliveries()) {
+    fn the_last_incarnation_wins_in_any_order_of_arrival(deliveries in deliveries()) {
         let now = Instant::now();
         let mut members: Vec<TargetRegistry> =
-            (0..3).map(|_| TargetRegistry::new(SILENCE)).collect();
+            (0..3).map(|_| TargetRegistry::new(SILENCE_LIMIT)).collect();
         let mut seen = [0; 3];
         let mut table = empty_table();
-        for (word, at, restarts) in deliveries {
+        for (message, at, restarts) in deliveries {
             if restarts {
-                members[at] = TargetRegistry::new(SILENCE);
+                members[at] = TargetRegistry::new(SILENCE_LIMIT);
                 seen[at] = 0;
                 table.source_restarted(at as u32, now);
             }
-            match word {
-                Word::Announce(record) => { members[at].announce(record, now); }
-                Word::Leave(id) => { members[at].remove(&id, now); }
+            match message {
+                TargetMessage::Announce(record) => { members[at].announce(record, now); }
+                TargetMessage::Leave(id) => { members[at].remove(&id, now); }
             }
             for gone in members[at].gone_since(seen[at]) {
                 table.note_gone(&gone, now);
             }
-            for news in members[at].targets_since(seen[at], now) {
-                table.note_target(at as u32, &news, now);
+            for status in members[at].targets_since(seen[at], now) {
+                table.note_target(at as u32, &status, now);
             }
             seen[at] = members[at].change_number();
         }
-        prop_assert_eq!(choose(&table, &[], now), Choice::Target(id(run(3))));
+        prop_assert_eq!(choose(&table, &[], now), Choice::Target(id(incarnation(3))));
         prop_assert!(table.is_ready("i-1"));
     }
 }
--- a/tests/all/serving_config.rs
+++ b/tests/all/serving_config.rs
@@ -1,4 +1,4 @@
-//! Configurations as operators send them: what is refused, and which route a request finds.
+//! Configurations as operators send them: validation, and lookup of routes and keys.
 
 use egretseam_platform::PlatformControl;
 use egretseam_registrar::ControlDialect;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_proper_configuration_is_read_whole() {
+fn a_valid_configuration_is_read_completely() {
     let mut split = route("split", "b.example", "/x/");
     split["trafficSplit"] =
         json!([{"service": "orders", "weight": 90}, {"service": "store", "weight": 10}]);
@@ -44,7 +44,7 @@
     split["streamResume"] = json!(true);
     split.as_object_mut().expect("an object").remove("service");
     let routes = json!([route("one", "a.example", "/"), split]);
-    let checked = check(&config(7, routes)).expect("proper");
+    let checked = check(&config(7, routes)).expect("a valid configuration");
     assert_eq!(checked.version, 7);
     assert_eq!(checked.routes[1].kind, RouteKind::Stream { resumable: true });
     assert!(checked.origin().is_some());
@@ -52,22 +52,22 @@
     assert_eq!((picked(0), picked(u32::MAX)), ("orders".to_owned(), "store".to_owned()));
 }
 
-/// What makes a proper configuration improper.
-type Change<'a> = &'a dyn Fn(&mut Value);
+/// An edit that makes a valid configuration invalid.
+type Edit<'a> = &'a dyn Fn(&mut Value);
 
 #[test]
-fn configurations_that_break_a_rule_are_refused() {
-    let with = |change: Change<'_>| {
+fn invalid_configurations_are_rejected() {
+    let error_after = |edit: Edit<'_>| {
         let mut config = config(2, json!([route("one", "a.example", "/x/")]));
-        change(&mut config);
-        check(&config).expect_err("must be refused")
+        edit(&mut config);
+        check(&config).expect_err("an invalid configuration")
     };
-    let cases: [(&str, Change); 8] = [
+    let cases: [(&str, Edit); 8] = [
         ("no service nowhere", &|c| c["routes"][0]["service"] = json!("nowhere")),
         ("timeout is 0", &|c| c["routes"][0]["timeoutMs"] = json!(0)),
         ("same host and prefix", &|c| {
-            let twin = c["routes"][0].clone();
-            c["routes"].as_array_mut().expect("a list").push(twin);
+            let duplicate = c["routes"][0].clone();
+            c["routes"].as_array_mut().expect("a list").push(duplicate);
         }),
         ("add up to 0", &|c| {
             c["routes"][0]["trafficSplit"] = json!([{"service": "orders", "weight": 0}]);
@@ -79,24 +79,26 @@
             c.as_object_mut().expect("an object").remove("services");
         }),
     ];
-    for (expected, change) in cases {
-        let error = with(change);
+    for (expected, edit) in cases {
+        let error = error_after(edit);
         assert!(error.contains(expected), "{expected}: {error}");
     }
-    let whole = config(2, json!([route("one", "a.example", "/x/")])).to_string();
-    for length in [0, 1, whole.len() / 2, whole.len() - 1] {
+    let complete = config(2, json!([route("one", "a.example", "/x/")])).to_string();
+    for length in [0, 1, complete.len() / 2, complete.len() - 1] {
         assert!(
-            PlatformControl.read_config(&whole.as_bytes()[..length]).is_err(),
-            "cut at {length}"
+            PlatformControl.read_config(&complete.as_bytes()[..length]).is_err(),
+            "truncated to {length} bytes"
         );
     }
 }
 
 #[test]
-fn hosts_differ_only_by_case_are_the_same_place() {
+fn routes_whose_hosts_differ_only_by_case_are_duplicates() {
     let routes = json!([route("one", "A.example", "/x/"), route("two", "a.EXAMPLE", "/x/")]);
-    let raw = PlatformControl.read_config(config(1, routes).to_string().as_bytes()).expect("read");
-    let error = ServingConfig::try_from(raw).expect_err("the same place");
+    let raw = PlatformControl
+        .read_config(config(1, routes).to_string().as_bytes())
+        .expect("a readable configuration");
+    let error = ServingConfig::try_from(raw).expect_err("two routes with one host and prefix");
     assert_eq!(error, ConfigError::DuplicateRoute("one".to_owned(), "two".to_owned()));
 }
 
@@ -106,7 +108,7 @@
     open["public"] = json!(true);
     let routes =
         json!([route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"), open,]);
-    let table = RouteTable::new(check(&config(1, routes)).expect("proper"));
+    let table = RouteTable::new(check(&config(1, routes)).expect("a valid configuration"));
     let name = |host: &str, path: &str| table.route(host, path).map(|route| route.name.clone());
     assert_eq!(name("a.example", "/x/y/z").as_deref(), Some("long"));
     assert_eq!(name("A.Example:80", "/x/yy").as_deref(), Some("short"));
@@ -126,10 +128,10 @@
 }
 
 #[test]
-fn a_lookup_costs_the_same_with_thousands_of_routes() {
+fn a_route_is_found_among_thousands() {
     let routes: Vec<Value> =
         (0..3_000).map(|at| route(&format!("r{at}"), "a.example", &format!("/p{at}/"))).collect();
-    let table = RouteTable::new(check(&config(1, json!(routes))).expect("proper"));
+    let table = RouteTable::new(check(&config(1, json!(routes))).expect("a valid configuration"));
     let found = table.route("a.example", "/p2999/deep/down").expect("a route");
     assert_eq!(found.name, "r2999");
 }
