--- a/crates/stager/src/engine.rs
+++ b/crates/stager/src/engine.rs
@@ -22,7 +22,7 @@
                 reachable = now_reachable;
                 tracing::info!(reachable, target = %shared.options.target, "the engine's reachability changed");
             }
-            if shared.hurry.get() { HURRIED_INTERVAL } else { USUAL_INTERVAL }
+            if shared.polls_fast.get() { HURRIED_INTERVAL } else { USUAL_INTERVAL }
         };
         tokio::time::sleep(interval).await;
     }
@@ -31,17 +31,17 @@
 /// Looks once; returns whether the engine answered.
 pub(crate) async fn look(shared: &StagerShared) -> bool {
     let asked_at = Instant::now();
-    let call = shared.dialect.report();
-    let report = match shared.watch_engine(&call).await {
-        Ok(reply) if reply.status == 200 => shared.dialect.read_report(&reply.body),
+    let call = shared.dialect.report_request();
+    let report = match shared.poll_engine(&call).await {
+        Ok(reply) if reply.status == 200 => shared.dialect.parse_report(&reply.body),
         Ok(reply) => Err(format!("status {}", reply.status)),
         Err(error) => Err(error.to_string()),
     };
     match report {
         Ok(report) => {
             shared.report_at.set(asked_at);
-            shared.orders.borrow_mut().note_begun(report.orders_begun);
-            shared.fence.borrow_mut().note_report(shared.report.borrow().as_ref(), &report);
+            shared.orders.borrow_mut().apply_orders_begun(report.orders_begun);
+            shared.fence.borrow_mut().apply_report(shared.report.borrow().as_ref(), &report);
             note_versions(shared, &report);
             shared.report.send_if_modified(|held| {
                 let changed = held.as_ref().is_none_or(|held| {
@@ -80,7 +80,7 @@
 /// that, so it is the sign of an order that the engine carried out late.
 fn note_versions(shared: &StagerShared, report: &EngineReport) {
     let Some(now) = report.models.first() else { return };
-    let before = shared.held_before.replace(Some((report.incarnation, now.clone())));
+    let before = shared.last_loaded.replace(Some((report.incarnation, now.clone())));
     let Some((incarnation, before)) = before else { return };
     let is_same_model = incarnation == report.incarnation && before.model == now.model;
     if is_same_model && now.version < before.version {
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -2,12 +2,12 @@
 
 use crate::{
     chunks::ChunkStore,
-    dialect::{EngineCall, EngineDialect, EngineReport},
+    dialect::{EngineDialect, EngineReport, EngineRequest},
     downloads::PartDownloads,
     older::OlderVersion,
     options::StagerOptions,
     order_fence::OrderFence,
-    order_ledger::OrderLedger,
+    order_tracker::OrderTracker,
     uploads::PartUploads,
 };
 use egretseam_h1::{CallReply, CallRequest, ExchangeError, KeptClient};
@@ -35,7 +35,7 @@
 /// Steps in which entries are told of a slow link.
 const LINK_DELAY_STEP: Duration = Duration::from_millis(500);
 /// Largest answer of an engine or the origin.
-pub(crate) const MAX_ANSWER: usize = 64 * 1024 * 1024;
+pub(crate) const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Counters of an agent.
 pub(crate) struct StagerMetrics {
@@ -78,17 +78,17 @@
 
 /// A plan and when the version in it was named, as far as this agent knows.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldPlan {
+pub(crate) struct ReceivedPlan {
     pub(crate) plan: WeightsPlan,
     /// Agents to exchange chunks with, in the order of their targets' addresses.
     pub(crate) peers: Vec<SwarmPeer>,
-    pub(crate) named_at: Instant,
+    pub(crate) published_at: Instant,
     /// When the oldest version was named that the engine has not reached yet: its bound comes
     /// first, and any newer version keeps it.
-    pub(crate) due_from: Instant,
+    pub(crate) staleness_start: Instant,
 }
 
-impl HeldPlan {
+impl ReceivedPlan {
     /// What to bring to the engine.
     pub(crate) fn key(&self) -> WeightsKey {
         WeightsKey { model: self.plan.model.clone(), version: self.version() }
@@ -104,40 +104,40 @@
     pub(crate) options: StagerOptions,
     pub(crate) dialect: Rc<dyn EngineDialect>,
     pub(crate) metrics: StagerMetrics,
-    pub(crate) plan: watch::Sender<Option<HeldPlan>>,
+    pub(crate) plan: watch::Sender<Option<ReceivedPlan>>,
     /// What the engine last said, and when.
     pub(crate) report: watch::Sender<Option<EngineReport>>,
     pub(crate) report_at: Cell<Instant>,
     /// What the engine held when it last held anything, and in which of its runs.
-    pub(crate) held_before: RefCell<Option<(Incarnation, HeldModel)>>,
+    pub(crate) last_loaded: RefCell<Option<(Incarnation, HeldModel)>>,
     /// Whether an order is about to be given or being carried out.
-    pub(crate) ordering: Cell<bool>,
+    pub(crate) order_in_progress: Cell<bool>,
     /// Wakes the task that tells control of the engine.
-    pub(crate) tell: Notify,
+    pub(crate) report_due: Notify,
     /// The control member that is followed at present.
-    pub(crate) member: Cell<Option<SocketAddr>>,
+    pub(crate) control_member: Cell<Option<SocketAddr>>,
     /// Whether the engine is looked at often.
-    pub(crate) hurry: Cell<bool>,
+    pub(crate) polls_fast: Cell<bool>,
     pub(crate) chunks: RefCell<ChunkStore>,
     /// Grows with each version whose digests become known here; other agents wait on it.
-    pub(crate) weights_begun: watch::Sender<u64>,
+    pub(crate) digests_added: watch::Sender<u64>,
     /// The version before the newest, while it may still be of use.
     pub(crate) older: RefCell<Option<OlderVersion>>,
     /// The last overtaken version that the engine took.
-    pub(crate) reached: RefCell<Option<OlderVersion>>,
+    pub(crate) superseded_loaded: RefCell<Option<OlderVersion>>,
     /// Held while the engine is brought to a version, so that orders do not overlap.
     pub(crate) switching: Mutex<()>,
     /// Outlives whoever gave the order: a newer version may interrupt that.
-    pub(crate) orders: RefCell<OrderLedger>,
+    pub(crate) orders: RefCell<OrderTracker>,
     /// Tokens of this agent's orders.
     pub(crate) fence: RefCell<OrderFence>,
     /// The last version whose content control has noted at this agent's word.
-    pub(crate) noted_content: RefCell<Option<WeightsKey>>,
+    pub(crate) recorded_content: RefCell<Option<WeightsKey>>,
     /// Whether the ledger holds what the agent before this one may have left open.
-    pub(crate) knows_orders: Cell<bool>,
+    pub(crate) previous_orders_known: Cell<bool>,
     pub(crate) started_at: Instant,
     /// Whether the next digests must come from the origin, since the last ones were wrong.
-    pub(crate) distrusts_peers: Cell<bool>,
+    pub(crate) requires_origin_digests: Cell<bool>,
     /// Whether no chunk comes any more of the version that the engine is to have.
     stalled: Cell<bool>,
     /// Whether the own link is narrower than it was said to be, by questions to other agents.
@@ -145,7 +145,7 @@
     /// How long entries were told that requests are on their way over it.
     told_delay: Cell<Duration>,
     /// Whether the origin did not answer when this agent last fetched from it.
-    pub(crate) origin_lost: Cell<bool>,
+    pub(crate) origin_unreachable: Cell<bool>,
     /// Bounds what is fetched from other agents, so that live requests get through.
     pub(crate) downloads: PartDownloads,
     /// The same for what is given to them.
@@ -166,26 +166,26 @@
             plan: watch::Sender::new(None),
             report: watch::Sender::new(None),
             report_at: Cell::new(Instant::now()),
-            held_before: RefCell::new(None),
-            ordering: Cell::new(false),
-            tell: Notify::new(),
-            member: Cell::new(None),
-            hurry: Cell::new(false),
+            last_loaded: RefCell::new(None),
+            order_in_progress: Cell::new(false),
+            report_due: Notify::new(),
+            control_member: Cell::new(None),
+            polls_fast: Cell::new(false),
             chunks: RefCell::default(),
-            weights_begun: watch::Sender::new(0),
+            digests_added: watch::Sender::new(0),
             older: RefCell::new(None),
-            reached: RefCell::new(None),
+            superseded_loaded: RefCell::new(None),
             switching: Mutex::new(()),
             orders: RefCell::default(),
             fence: RefCell::new(OrderFence::new(since_epoch())),
-            noted_content: RefCell::default(),
-            knows_orders: Cell::new(false),
+            recorded_content: RefCell::default(),
+            previous_orders_known: Cell::new(false),
             started_at: Instant::now(),
-            distrusts_peers: Cell::new(false),
+            requires_origin_digests: Cell::new(false),
             stalled: Cell::new(false),
             path: RefCell::default(),
             told_delay: Cell::new(Duration::ZERO),
-            origin_lost: Cell::new(false),
+            origin_unreachable: Cell::new(false),
             downloads: PartDownloads::new(options.upload_bytes_per_second),
             uploads: PartUploads::new(options.upload_bytes_per_second),
             engine: Mutex::new(KeptClient::new(options.target)),
@@ -195,12 +195,18 @@
     }
 
     /// Calls the engine.
-    pub(crate) async fn call_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn call_engine(
+        &self,
+        call: &EngineRequest,
+    ) -> Result<CallReply, ExchangeError> {
         self.lock_engine().await.call(call).await
     }
 
     /// Gives the engine an order.
-    pub(crate) async fn order_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn send_order(
+        &self,
+        call: &EngineRequest,
+    ) -> Result<CallReply, ExchangeError> {
         self.engine.lock().await.call(&request(call, ORDER_LIMIT)).await
     }
 
@@ -210,21 +216,24 @@
     }
 
     /// Calls the engine on the connection kept for watching it, which staging does not delay.
-    pub(crate) async fn watch_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn poll_engine(
+        &self,
+        call: &EngineRequest,
+    ) -> Result<CallReply, ExchangeError> {
         self.watcher.lock().await.call(&request(call, ENGINE_CALL_LIMIT)).await
     }
 
     /// Lets entries know whether there is an end in sight of the engine's want of weights.
-    pub(crate) fn note_stalled(&self, stalled: bool) {
+    pub(crate) fn set_stalled(&self, stalled: bool) {
         if self.stalled.replace(stalled) != stalled {
             tracing::info!(stalled, "chunks of the wanted version");
-            self.tell.notify_one();
+            self.report_due.notify_one();
         }
     }
 
     /// Lets less be on its way and gives less to others over a link that is narrower than it was said
     /// to be, and lets entries know, in steps, so that they are told seldom.
-    pub(crate) fn heed_link(&self) {
+    pub(crate) fn adapt_to_link(&self) {
         let now = Instant::now();
         self.downloads.look(now);
         self.uploads.look(now);
@@ -234,28 +243,28 @@
         let rounded = LINK_DELAY_STEP.mul_f64(steps.ceil());
         if self.told_delay.replace(rounded) != rounded {
             tracing::info!(delay_millis = rounded.as_millis() as u64, "the own link's delay");
-            self.tell.notify_one();
+            self.report_due.notify_one();
         }
     }
 
     /// Tells entries for as long as the guard lives that the engine takes no requests, and looks at
     /// the engine often.
-    pub(crate) fn begin_ordering(&self) -> OrderingGuard<'_> {
-        self.ordering.set(true);
-        self.hurry.set(true);
-        self.tell.notify_one();
-        OrderingGuard { shared: self }
+    pub(crate) fn begin_order(&self) -> OrderGuard<'_> {
+        self.order_in_progress.set(true);
+        self.polls_fast.set(true);
+        self.report_due.notify_one();
+        OrderGuard { shared: self }
     }
 
     /// What to tell control of the engine.
-    pub(crate) fn engine_news(&self) -> Option<EngineStatus> {
+    pub(crate) fn engine_status(&self) -> Option<EngineStatus> {
         let report = self.report.borrow();
         let report = report.as_ref()?;
         Some(EngineStatus {
             address: self.options.target,
             incarnation: report.incarnation,
             models: report.models.clone(),
-            loading: report.busy || self.ordering.get(),
+            loading: report.busy || self.order_in_progress.get(),
             stalled: self.stalled.get(),
             link_delay_millis: self.told_delay.get().as_millis() as u64,
             age_millis: self.report_at.get().elapsed().as_millis() as u64,
@@ -270,14 +279,14 @@
 
 impl EngineConnection<'_> {
     /// Calls the engine.
-    pub(crate) async fn call(&mut self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn call(&mut self, call: &EngineRequest) -> Result<CallReply, ExchangeError> {
         self.client.call(&request(call, ENGINE_CALL_LIMIT)).await
     }
 
     /// Gives an order to the run of the engine that answered the call before.
-    pub(crate) async fn order_kept(
+    pub(crate) async fn order_on_same_connection(
         &mut self,
-        call: &EngineCall,
+        call: &EngineRequest,
     ) -> Result<CallReply, ExchangeError> {
         self.client.call_kept(&request(call, ORDER_LIMIT)).await
     }
@@ -287,15 +296,15 @@
 /// one's switch is given up midway. Without the guard's end entries would be told until the newer
 /// one's switch that the engine takes no requests; it shows as an engine that stands empty for
 /// seconds.
-pub(crate) struct OrderingGuard<'a> {
+pub(crate) struct OrderGuard<'a> {
     shared: &'a StagerShared,
 }
 
-impl Drop for OrderingGuard<'_> {
+impl Drop for OrderGuard<'_> {
     fn drop(&mut self) {
-        self.shared.ordering.set(false);
-        self.shared.hurry.set(false);
-        self.shared.tell.notify_one();
+        self.shared.order_in_progress.set(false);
+        self.shared.polls_fast.set(false);
+        self.shared.report_due.notify_one();
     }
 }
 
@@ -305,13 +314,13 @@
 }
 
 /// A call as the HTTP client takes it.
-pub(crate) fn request(call: &EngineCall, limit: Duration) -> CallRequest<'_> {
+pub(crate) fn request(call: &EngineRequest, limit: Duration) -> CallRequest<'_> {
     CallRequest {
         method: call.method,
-        target: &call.target,
+        target: &call.path_and_query,
         content_type: call.content_type,
         body: &call.body,
         limit,
-        max_body: MAX_ANSWER,
+        max_body: MAX_RESPONSE_BYTES,
     }
 }
--- a/crates/swarm/src/transfer.rs
+++ b/crates/swarm/src/transfer.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     chunk_set::ChunkSet,
-    link_budget::LinkBudget,
+    link_pacer::LinkPacer,
     manifest::WeightManifest,
     planner::{
         ChunkIndex, FetchFailure, FetchOrder, PlannerPeer, PlannerPolicy, SourceChoice,
@@ -111,7 +111,7 @@
     planner: RefCell<SwarmPlanner>,
     peers: RefCell<IndexMap<InstanceName, Rc<dyn PeerSource>>>,
     sources: TransferSources,
-    budget: Rc<LinkBudget>,
+    budget: Rc<LinkPacer>,
     handler: Rc<ChunkHandler>,
     bytes: ByteCounters,
     changed: Notify,
@@ -132,7 +132,7 @@
         own: PlannerPeer,
         options: TransferOptions,
         sources: TransferSources,
-        budget: Rc<LinkBudget>,
+        budget: Rc<LinkPacer>,
         handler: Rc<ChunkHandler>,
     ) -> Result<Rc<Self>, TransferError> {
         let (staged, have) = store.stage(manifest)?;
@@ -265,7 +265,7 @@
     fn take_have(&self, name: &InstanceName, text: &str) -> Option<u32> {
         let have = ChunkSet::from_text(text, self.manifest.chunk_count())?;
         let count = have.count();
-        self.planner.borrow_mut().note_have(name, have, self.now());
+        self.planner.borrow_mut().apply_have(name, have, self.now());
         self.changed.notify_one();
         Some(count)
     }
@@ -277,7 +277,7 @@
         }
         match result {
             Ok(()) => {
-                let fresh = self.planner.borrow_mut().note_fetched(&order, self.now());
+                let fresh = self.planner.borrow_mut().record_fetched(&order, self.now());
                 if fresh {
                     self.have.borrow_mut().insert(order.chunk);
                     self.handler.note_chunk(self.manifest.id());
@@ -287,11 +287,11 @@
             }
             Err(FetchError::Source(failure)) => {
                 tracing::debug!(chunk = order.chunk, source = ?order.source, ?failure, "no chunk");
-                self.planner.borrow_mut().note_failed(&order, failure, self.now());
+                self.planner.borrow_mut().record_failed(&order, failure, self.now());
             }
             Err(FetchError::Store(error)) => {
                 let failure = FetchFailure::Unreachable;
-                self.planner.borrow_mut().note_failed(&order, failure, self.now());
+                self.planner.borrow_mut().record_failed(&order, failure, self.now());
                 *self.failure.borrow_mut() = Some(error);
             }
         }
@@ -372,11 +372,11 @@
             let Some(piece) = next else { break };
             let piece = piece?;
             counter.set(counter.get() + piece.len() as u64);
-            self.planner.borrow_mut().note_bytes(self.now());
+            self.planner.borrow_mut().record_progress(self.now());
             if taken + piece.len() as u64 > expected {
                 return Err(FetchError::Source(FetchFailure::Corrupt));
             }
-            self.budget.take(piece.len()).await;
+            self.budget.acquire(piece.len()).await;
             if self.have.borrow().contains(chunk) {
                 return Ok(());
             }
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -4,9 +4,9 @@
 use crate::batch_engine::{BatchEngine, EngineEvent, EngineModel};
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AttemptOutcome, Choice, EngineStatus, HeldModel, Incarnation, PlacementNeed, PlacementPolicy,
-    TargetId, TargetRecord, TargetState, TargetStatus, TargetTable, WaitClaim, WaitPolicy,
-    WaitQueue,
+    AttemptOutcome, EngineStatus, HeldModel, Incarnation, PlacementOutcome, PlacementPolicy,
+    PlacementQuery, TargetId, TargetRecord, TargetState, TargetStatus, TargetTable, WaitPolicy,
+    WaitQueue, WaitUrgency,
 };
 use indexmap::{IndexMap, IndexSet};
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
@@ -42,7 +42,7 @@
     pub late_behind: bool,
     /// Whether entries know of each other.
     pub aware: bool,
-    /// Choice of targets.
+    /// PlacementOutcome of targets.
     pub placement: PlacementPolicy,
     /// Waiting.
     pub waiting: WaitPolicy,
@@ -139,11 +139,11 @@
         let entry = |_| {
             let mut table = TargetTable::new(script.placement, zone.clone());
             if script.aware {
-                table.set_sharers(script.entries);
+                table.set_entry_count(script.entries);
             }
             for number in 0..script.engines {
                 let record = target_record(number, &script, &service, &model, &zone);
-                table.note_target(0, &TargetStatus { record, silent: false, age_millis: 0 }, now);
+                table.apply_target(0, &TargetStatus { record, silent: false, age_millis: 0 }, now);
             }
             LoadEntry { table, queue: WaitQueue::new(script.waiting) }
         };
@@ -177,7 +177,7 @@
     fn began(&mut self, id: u64, now: Instant) {
         let Some(placed) = self.placed.get(&id) else { return };
         let table = &mut self.entries[placed.entry].table;
-        table.note_first_byte(&target_id(placed.target), placed.sent, now);
+        table.record_first_byte(&target_id(placed.target), placed.sent, now);
         if now - placed.due <= self.script.objective {
             self.result.in_time += 1;
         } else {
@@ -188,7 +188,7 @@
     fn ended(&mut self, id: u64, now: Instant) {
         let Some(placed) = self.placed.swap_remove(&id) else { return };
         let table = &mut self.entries[placed.entry].table;
-        table.end(&target_id(placed.target), AttemptOutcome::Answered, now);
+        table.finish_attempt(&target_id(placed.target), AttemptOutcome::Answered, now);
     }
 
     fn begin_or_end_outage(&mut self, elapsed: Duration, now: Instant) {
@@ -209,7 +209,7 @@
                 age_millis: 0,
             };
             for entry in &mut self.entries {
-                entry.table.note_engine(&news, now);
+                entry.table.apply_engine(&news, now);
             }
         }
     }
@@ -224,7 +224,7 @@
             let Some((_, busy)) = self.reports.pop_front() else { return };
             for entry in &mut self.entries {
                 for (number, busy) in busy.iter().enumerate() {
-                    entry.table.note_load_at(address(number), *busy, now - REPORT_AGE);
+                    entry.table.record_load_at(address(number), *busy, now - REPORT_AGE);
                 }
             }
         }
@@ -238,10 +238,10 @@
         if self.in_outage {
             return self.hold_or_refuse(at, id, now);
         }
-        let usual = self.entries[at].table.usual_first_byte(&self.service, now);
+        let usual = self.entries[at].table.median_first_byte(&self.service, now);
         let trying_for = self.due.get(&id).map_or(Duration::ZERO, |due| now - *due);
         let known = if self.script.late_behind { trying_for } else { Duration::ZERO };
-        let claim = WaitClaim::new(1, self.script.objective, known);
+        let claim = WaitUrgency::new(1, self.script.objective, known);
         let queue = &mut self.entries[at].queue;
         let give_up_at = now + queue.wait_limit(&claim, usual);
         if queue.push(&claim, give_up_at, id, now).is_err() {
@@ -250,18 +250,18 @@
     }
 
     fn hold_or_refuse(&mut self, at: usize, id: u64, now: Instant) {
-        let claim = WaitClaim::new(1, self.script.objective, Duration::ZERO).in_outage();
+        let claim = WaitUrgency::new(1, self.script.objective, Duration::ZERO).for_outage();
         let queue = &mut self.entries[at].queue;
         let give_up_at = now + queue.outage_limit();
-        if !self.script.holds || queue.hold(&claim, give_up_at, id).is_err() {
+        if !self.script.holds || queue.push_without_prediction(&claim, give_up_at, id).is_err() {
             self.refuse(at, id, now);
         }
     }
 
     fn refuse(&mut self, at: usize, id: u64, now: Instant) {
-        self.entries[at].queue.note_rejected(now);
+        self.entries[at].queue.record_rejected(now);
         if self.returned.insert(id) {
-            let after = self.entries[at].queue.return_after(rand::random());
+            let after = self.entries[at].queue.retry_after(rand::random());
             self.returning.push((now + after, id));
         } else {
             self.result.refused += 1;
@@ -279,7 +279,7 @@
 
     fn pump(&mut self, now: Instant) {
         for at in 0..self.entries.len() {
-            for id in self.entries[at].queue.expired(now) {
+            for id in self.entries[at].queue.remove_expired(now) {
                 self.refuse(at, id, now);
             }
             loop {
@@ -299,23 +299,23 @@
 
     fn place(&mut self, at: usize, id: u64, now: Instant) -> bool {
         let late = self.script.late_behind && self.is_late(id, now);
-        let need = PlacementNeed {
+        let need = PlacementQuery {
             service: &self.service,
             model: Some(&self.model),
             tried: &[],
             late,
-            begin_by: None,
+            first_byte_deadline: None,
         };
-        let Choice::Target(target) = self.entries[at].table.choose(&need, now) else {
+        let PlacementOutcome::Target(target) = self.entries[at].table.choose(&need, now) else {
             return false;
         };
-        self.entries[at].table.begin(&target, now);
-        self.entries[at].table.note_sent(&target, now);
+        self.entries[at].table.start_attempt(&target, now);
+        self.entries[at].table.record_sent(&target, now);
         let queue = &mut self.entries[at].queue;
         if late {
-            queue.note_late_placed(now)
+            queue.record_late_placed(now)
         } else {
-            queue.note_placed(now)
+            queue.record_placed(now)
         }
         let number: usize = target.name.parse().expect("targets are named by number");
         self.engines[number].arrive(id, now);
--- a/tests/all/incarnations.rs
+++ b/tests/all/incarnations.rs
@@ -3,7 +3,7 @@
 use crate::serving_tables::{choose, held, news};
 use egretseam_proto::{ServiceName, ZoneName};
 use egretseam_serving::{
-    AnnounceOutcome, AttemptOutcome, Choice, EngineStatus, Incarnation, LeaveOutcome,
+    AnnounceOutcome, AttemptOutcome, EngineStatus, Incarnation, LeaveOutcome, PlacementOutcome,
     PlacementPolicy, TargetId, TargetRecord, TargetRegistry, TargetState, TargetTable,
 };
 use proptest::prelude::*;
@@ -111,28 +111,28 @@
 async fn nothing_is_carried_over_to_a_new_incarnation() {
     let now = Instant::now();
     let mut table = empty_table();
-    table.note_target(0, &news(ready(incarnation(1), 7)), now);
+    table.apply_target(0, &news(ready(incarnation(1), 7)), now);
     for _ in 0..4 {
-        table.begin(&id(incarnation(1)), now);
+        table.start_attempt(&id(incarnation(1)), now);
     }
-    table.note_load(&id(incarnation(1)), 4, now);
-    assert_eq!(choose(&table, &[], now), Choice::Full);
+    table.record_load(&id(incarnation(1)), 4, now);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Full);
     let later = now + Duration::from_secs(2);
-    table.note_target(0, &news(ready(incarnation(2), 1)), later);
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(incarnation(2))));
+    table.apply_target(0, &news(ready(incarnation(2), 1)), later);
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(incarnation(2))));
     // The previous incarnation's requests end; this frees no slot of the new one and does not count
     // as its failure.
     for _ in 0..4 {
-        table.begin(&id(incarnation(2)), later);
+        table.start_attempt(&id(incarnation(2)), later);
     }
     for _ in 0..4 {
-        assert!(!table.end(&id(incarnation(1)), AttemptOutcome::Unreachable, later));
+        assert!(!table.finish_attempt(&id(incarnation(1)), AttemptOutcome::Unreachable, later));
     }
-    assert_eq!(choose(&table, &[], later), Choice::Full);
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Full);
     // A load sample of the previous incarnation at the same address arrives late.
-    table.end(&id(incarnation(2)), AttemptOutcome::Answered, later);
-    table.note_load_at(address(), 4, now + Duration::from_secs(1));
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(incarnation(2))));
+    table.finish_attempt(&id(incarnation(2)), AttemptOutcome::Answered, later);
+    table.record_load_at(address(), 4, now + Duration::from_secs(1));
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(incarnation(2))));
 }
 
 /// Guards against rejections by an engine that restarted without weights, because an agent's report
@@ -150,20 +150,20 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.note_target(0, &news(ready(incarnation(1), 1)), now);
+    table.apply_target(0, &news(ready(incarnation(1), 1)), now);
     // The agent observes the restart of the engine before the engine announces itself.
-    table.note_engine(&engine(incarnation(2), Vec::new()), now);
-    assert_eq!(choose(&table, &[], now), Choice::NoTarget);
+    table.apply_engine(&engine(incarnation(2), Vec::new()), now);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::NoTarget);
     let empty = TargetRecord { models: Vec::new(), ..ready(incarnation(2), 1) };
-    table.note_target(0, &news(empty), now);
-    table.note_engine(&engine(incarnation(1), held(1)), now);
+    table.apply_target(0, &news(empty), now);
+    table.apply_engine(&engine(incarnation(1), held(1)), now);
     assert_eq!(
         choose(&table, &[], now),
-        Choice::NoTarget,
+        PlacementOutcome::NoTarget,
         "the previous incarnation's weights do not count"
     );
-    table.note_engine(&engine(incarnation(2), held(1)), now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(incarnation(2))));
+    table.apply_engine(&engine(incarnation(2), held(1)), now);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(incarnation(2))));
 }
 
 /// Guards against a target that is never used again. Its clock steps back between two starts, so
@@ -174,7 +174,7 @@
     let mut registry = TargetRegistry::new(SILENCE_LIMIT);
     let mut table = empty_table();
     registry.announce(ready(incarnation(5), 1), now);
-    table.note_target(0, &registry.targets_since(0, now)[0], now);
+    table.apply_target(0, &registry.targets_since(0, now)[0], now);
     let mut at = now;
     let mut seen = registry.change_number();
     for sequence in 1..61 {
@@ -182,14 +182,14 @@
         registry.announce(ready(incarnation(3), sequence), at);
         registry.expire(at);
         for status in registry.targets_since(seen, at) {
-            table.note_target(0, &status, at);
+            table.apply_target(0, &status, at);
         }
         seen = registry.change_number();
     }
     at += Duration::from_secs(1);
     assert_eq!(registry.announce(ready(incarnation(3), 61), at), AnnounceOutcome::Accepted);
-    table.note_target(0, &registry.targets_since(seen, at)[0], at);
-    assert_eq!(choose(&table, &[], at), Choice::Target(id(incarnation(3))));
+    table.apply_target(0, &registry.targets_since(seen, at)[0], at);
+    assert_eq!(choose(&table, &[], at), PlacementOutcome::Target(id(incarnation(3))));
 }
 
 /// Guards against an overflow of the clock, which would abort the entry, if a target announces the
@@ -199,8 +199,8 @@
     let now = Instant::now();
     let mut table = empty_table();
     let slow = TargetRecord { cold_millis: u64::MAX, ..ready(incarnation(1), 1) };
-    table.note_target(0, &news(slow), now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(incarnation(1))));
+    table.apply_target(0, &news(slow), now);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(incarnation(1))));
 }
 
 /// A message of a target to a member.
@@ -268,14 +268,14 @@
                 TargetMessage::Leave(id) => { members[at].remove(&id, now); }
             }
             for gone in members[at].gone_since(seen[at]) {
-                table.note_gone(&gone, now);
+                table.remove_target(&gone, now);
             }
             for status in members[at].targets_since(seen[at], now) {
-                table.note_target(at as u32, &status, now);
+                table.apply_target(at as u32, &status, now);
             }
             seen[at] = members[at].change_number();
         }
-        prop_assert_eq!(choose(&table, &[], now), Choice::Target(id(incarnation(3))));
+        prop_assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(incarnation(3))));
         prop_assert!(table.is_ready("i-1"));
     }
 }
