--- a/crates/agent/src/follower.rs
+++ b/crates/agent/src/follower.rs
@@ -18,7 +18,7 @@
 };
 use egretseam_proto::{ManifestId, ProfileName, ServingVersion, TargetState};
 use egretseam_rpc::{EntryLink, LinkOptions, SubmitReply};
-use egretseam_swarm::{TransferError, WholeWeights};
+use egretseam_swarm::{TransferError, CompleteWeights};
 use std::{rc::Rc, time::Duration};
 use tokio::{net::TcpStream, time::Instant};
 
@@ -155,7 +155,7 @@
     shared: &Rc<AgentShared>,
     record: &ProfileRecord,
     wanted: &WantedWeights,
-) -> Result<Vec<WholeWeights>, TransferError> {
+) -> Result<Vec<CompleteWeights>, TransferError> {
     let mut parts = Vec::new();
     for part in wanted.parts() {
         parts.push(weights::bring(shared, part, record.spec.origin_copies).await?);
@@ -196,7 +196,7 @@
     name: &ProfileName,
     record: &ProfileRecord,
     wanted: &WantedWeights,
-    parts: &[WholeWeights],
+    parts: &[CompleteWeights],
 ) -> bool {
     let in_service = shared.state.get() == TargetState::Serving;
     let request = SwitchRequest {
@@ -261,7 +261,7 @@
     shared: &Rc<AgentShared>,
     grant: &SwitchRecord,
     wanted: &WantedWeights,
-    parts: &[WholeWeights],
+    parts: &[CompleteWeights],
     until: Instant,
 ) -> SwitchOutcome {
     if !shared.stopping.get() {
@@ -272,7 +272,7 @@
         return SwitchOutcome::Abandoned;
     }
     let Some((base, adapters)) = parts.split_first() else { return SwitchOutcome::Abandoned };
-    let adapter = |whole: &WholeWeights| AdapterOrder {
+    let adapter = |whole: &CompleteWeights| AdapterOrder {
         model: whole.manifest().model().clone(),
         version: whole.manifest().version().clone(),
         path: whole.data_path(),
--- a/crates/agent/src/weights.rs
+++ b/crates/agent/src/weights.rs
@@ -6,7 +6,7 @@
 use egretseam_rpc::PeerRecord;
 use egretseam_swarm::{
     HttpOrigin, HttpPeer, PeerSource, PlannerPeer, SourceError, TransferError, TransferReport,
-    TransferSources, WeightManifest, WeightSource, WeightTransfer, WholeWeights,
+    TransferSources, WeightManifest, WeightSource, WeightTransfer, CompleteWeights,
 };
 use std::{rc::Rc, time::Duration};
 
@@ -55,9 +55,9 @@
     shared: &Rc<AgentShared>,
     wanted: &WeightsSpec,
     origin_copies: u32,
-) -> Result<WholeWeights, TransferError> {
-    if let Some(whole) = shared.store.find_whole(wanted.manifest)? {
-        shared.chunks.share_whole(&whole)?;
+) -> Result<CompleteWeights, TransferError> {
+    if let Some(whole) = shared.store.find_complete(wanted.manifest)? {
+        shared.chunks.share_complete(&whole)?;
         return Ok(whole);
     }
     let sources = upstreams(shared);
--- a/crates/swarm/src/lib.rs
+++ b/crates/swarm/src/lib.rs
@@ -38,7 +38,7 @@
     source::{
         ChunkRequest, ChunkStream, HttpOrigin, HttpPeer, PeerSource, SourceError, WeightSource,
     },
-    store::{StagedWeights, WeightStore, WeightStoreError, WholeWeights},
+    store::{StagedWeights, WeightStore, WeightStoreError, CompleteWeights},
     transfer::{TransferError, TransferOptions, TransferReport, TransferSources, WeightTransfer},
     transfer_window::{MAX_CROSS_ZONE_PARTS, MAX_SAME_ZONE_PARTS, PART_BYTES, TransferWindow},
 };
--- a/crates/swarm/src/server.rs
+++ b/crates/swarm/src/server.rs
@@ -5,7 +5,7 @@
     link_pacer::LinkPacer,
     manifest::WeightManifest,
     source::HAVE_HEADER,
-    store::{StagedWeights, WholeWeights},
+    store::{StagedWeights, CompleteWeights},
 };
 use actix_http::{HttpMessage, Method, Request, Response, StatusCode};
 use bytes::Bytes;
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     /// Fails if its file cannot be opened.
-    pub fn share_whole(&self, whole: &WholeWeights) -> Result<(), crate::WeightStoreError> {
+    pub fn share_complete(&self, whole: &CompleteWeights) -> Result<(), crate::WeightStoreError> {
         let manifest = whole.manifest().clone();
         let count = manifest.chunk_count();
         let version = SharedVersion {
--- a/crates/swarm/src/store.rs
+++ b/crates/swarm/src/store.rs
@@ -79,7 +79,7 @@
 
 /// A version that is whole.
 #[derive(Clone, Debug)]
-pub struct WholeWeights {
+pub struct CompleteWeights {
     manifest: WeightManifest,
     folder: PathBuf,
 }
@@ -131,7 +131,7 @@
         staged: &StagedWeights,
         have: &mut ChunkSet,
     ) -> Result<(), WeightStoreError> {
-        for whole in self.list_whole()? {
+        for whole in self.list_complete()? {
             let source = whole.open()?;
             let known: IndexMap<ChunkDigest, u32> = (0..whole.manifest.chunk_count())
                 .filter_map(|chunk| Some((whole.manifest.digest(chunk)?, chunk)))
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     /// Fails if the folder cannot be read.
-    pub fn list_whole(&self) -> Result<Vec<WholeWeights>, WeightStoreError> {
+    pub fn list_complete(&self) -> Result<Vec<CompleteWeights>, WeightStoreError> {
         let path = self.folder.join(WHOLE);
         let mut found = Vec::new();
         for entry in fs::read_dir(&path).map_err(|e| io_error("list", &path, e))? {
@@ -180,7 +180,7 @@
     ///
     /// # Errors
     /// Fails if the disk refuses.
-    pub fn find_whole(&self, id: ManifestId) -> Result<Option<WholeWeights>, WeightStoreError> {
+    pub fn find_complete(&self, id: ManifestId) -> Result<Option<CompleteWeights>, WeightStoreError> {
         let folder = self.folder.join(WHOLE).join(id.to_string());
         if !folder.exists() {
             return Ok(None);
@@ -275,7 +275,7 @@
     ///
     /// # Errors
     /// Fails if a chunk does not match or the disk refuses; nothing is moved then.
-    pub fn finish(&self) -> Result<WholeWeights, WeightStoreError> {
+    pub fn finish(&self) -> Result<CompleteWeights, WeightStoreError> {
         let path = self.folder.join(DATA_FILE);
         verify_all(&self.manifest, &self.file, &path)?;
         self.file.sync_all().map_err(|e| io_error("sync", &path, e))?;
@@ -308,7 +308,7 @@
     }
 }
 
-impl WholeWeights {
+impl CompleteWeights {
     /// What is here.
     pub fn manifest(&self) -> &WeightManifest {
         &self.manifest
@@ -329,7 +329,7 @@
     }
 }
 
-fn read_whole(folder: &Path) -> Result<WholeWeights, WeightStoreError> {
+fn read_whole(folder: &Path) -> Result<CompleteWeights, WeightStoreError> {
     let path = folder.join(MANIFEST_FILE);
     let text = fs::read(&path).map_err(|e| io_error("read", &path, e))?;
     let bad = |detail: String| WeightStoreError::BadFile { path: path.clone(), detail };
@@ -340,7 +340,7 @@
     if named != Some(manifest.id().to_string()) {
         return Err(bad("the manifest is not the one the folder is named for".to_owned()));
     }
-    Ok(WholeWeights { manifest, folder: folder.to_owned() })
+    Ok(CompleteWeights { manifest, folder: folder.to_owned() })
 }
 
 fn write_manifest(folder: &Path, manifest: &WeightManifest) -> Result<(), WeightStoreError> {
--- a/crates/swarm/src/transfer.rs
+++ b/crates/swarm/src/transfer.rs
@@ -10,7 +10,7 @@
     },
     server::ChunkHandler,
     source::{ChunkRequest, ChunkStream, PeerSource, SourceError, WeightSource},
-    store::{StagedWeights, WeightStore, WeightStoreError, WholeWeights},
+    store::{StagedWeights, WeightStore, WeightStoreError, CompleteWeights},
 };
 use egretseam_proto::{ChunkDigest, InstanceName};
 use futures::StreamExt;
@@ -203,7 +203,7 @@
     /// # Errors
     /// Ends when the disk refuses or the transfer is stopped. What is on disk stays, and a new
     /// transfer of the same version goes on from it.
-    pub async fn run(self: &Rc<Self>) -> Result<WholeWeights, TransferError> {
+    pub async fn run(self: &Rc<Self>) -> Result<CompleteWeights, TransferError> {
         let mut ticks = tokio::time::interval(PLAN_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -227,12 +227,12 @@
         }
     }
 
-    async fn finish(&self) -> Result<WholeWeights, TransferError> {
+    async fn finish(&self) -> Result<CompleteWeights, TransferError> {
         // Reading and syncing gigabytes would stall this thread, so a blocking one does it.
         let staged = self.staged.clone();
         let whole = actix_rt::task::spawn_blocking(move || staged.finish()).await;
         let whole = whole.expect("the verifying task does not panic")?;
-        self.handler.share_whole(&whole)?;
+        self.handler.share_complete(&whole)?;
         Ok(whole)
     }
 
--- a/tests/all/weights.rs
+++ b/tests/all/weights.rs
@@ -62,7 +62,7 @@
     let staged = fill(&store, &manifest, &data);
     staged.write_at(1, 7, b"x").expect("written");
     assert!(matches!(staged.finish(), Err(WeightStoreError::Damaged { chunk: 1 })));
-    assert!(store.list_whole().expect("listed").is_empty());
+    assert!(store.list_complete().expect("listed").is_empty());
 }
 
 /// An instance dies between the sync and the rename. The next start finds all chunks staged and
@@ -90,8 +90,8 @@
     let mut bytes = data.clone();
     bytes[200_000] ^= 1;
     fs::write(whole.data_path(), bytes).expect("written");
-    assert!(store.find_whole(manifest.id()).expect("looked").is_none());
-    assert!(store.list_whole().expect("listed").is_empty());
+    assert!(store.find_complete(manifest.id()).expect("looked").is_none());
+    assert!(store.list_complete().expect("listed").is_empty());
 }
 
 /// A new version shares most chunks with the old one. Those are taken from disk, by digest, and
@@ -112,9 +112,9 @@
     assert!(!have.contains(1));
     staged.write_at(1, 0, &changed[65_536..131_072]).expect("written");
     assert_eq!(fs::read(staged.finish().expect("whole").data_path()).expect("read"), changed);
-    assert_eq!(store.list_whole().expect("listed").len(), 2);
+    assert_eq!(store.list_complete().expect("listed").len(), 2);
     store.retain(&[new.id()]).expect("removed");
-    assert_eq!(store.list_whole().expect("listed").len(), 1);
+    assert_eq!(store.list_complete().expect("listed").len(), 1);
 }
 
 /// The folder for weights cannot be written. The error says which file and why.
@@ -208,7 +208,7 @@
     for agent in test.cluster.agents() {
         assert_eq!(agent.counters.orders.load(Ordering::Relaxed), 2, "alone, then with it");
         let whole = WeightStore::open(&test.cluster.weights_folder(&agent.name)).expect("opened");
-        assert_eq!(whole.list_whole().expect("listed").len(), 2, "both are whole on disk");
+        assert_eq!(whole.list_complete().expect("listed").len(), 2, "both are whole on disk");
     }
 }
 
@@ -241,13 +241,13 @@
 fn a_retired_profile_frees_its_weights() {
     let test = TestCluster::start(options(1, 0));
     let store = WeightStore::open(&test.cluster.weights_folder("runner-0")).expect("opened");
-    assert_eq!(store.list_whole().expect("listed").len(), 1);
+    assert_eq!(store.list_complete().expect("listed").len(), 1);
     let service = ServiceName::try_from("chat").expect("a valid name");
     let base = test.cluster.config().expect("confirmed").services[&service].revision;
     test.cluster.edit(base, ConfigEdit::UnbindService { name: service }).expect("accepted");
     let name = ProfileName::try_from("model").expect("a valid name");
     test.cluster.edit(test.revision, ConfigEdit::RetireProfile { name }).expect("accepted");
-    let freed = || Ok(store.list_whole()?.is_empty() && store.used_bytes()? == 0);
+    let freed = || Ok(store.list_complete()?.is_empty() && store.used_bytes()? == 0);
     test.cluster.wait_until("the weights to go", PATIENCE, freed).expect("gone");
 }
 
