--- a/crates/agent/src/weights.rs
+++ b/crates/agent/src/weights.rs
@@ -5,8 +5,8 @@
 use egretseam_proto::ManifestId;
 use egretseam_rpc::PeerRecord;
 use egretseam_swarm::{
-    HttpOrigin, HttpPeer, PeerSource, PlannerPeer, SourceError, TransferError, TransferReport,
-    TransferSources, WeightManifest, WeightSource, WeightTransfer, CompleteWeights,
+    HttpUpstream, HttpPeer, PeerSource, PlannerPeer, SourceError, TransferError, TransferReport,
+    TransferSources, WeightManifest, UpstreamSource, WeightTransfer, CompleteWeights,
 };
 use std::{rc::Rc, time::Duration};
 
@@ -203,7 +203,7 @@
 fn upstreams(shared: &AgentShared) -> TransferSources {
     let client = || shared.client.clone();
     let source =
-        |address: &String| -> Rc<dyn WeightSource> { Rc::new(HttpOrigin::new(client(), address)) };
+        |address: &String| -> Rc<dyn UpstreamSource> { Rc::new(HttpUpstream::new(client(), address)) };
     TransferSources {
         store: shared.options.store_address.as_ref().map(source),
         origin: source(&shared.options.origin_address),
--- a/crates/swarm/src/lib.rs
+++ b/crates/swarm/src/lib.rs
@@ -36,7 +36,7 @@
     },
     server::{ChunkHandler, ServerCounters},
     source::{
-        ChunkRequest, ChunkStream, HttpOrigin, HttpPeer, PeerSource, SourceError, WeightSource,
+        ChunkRequest, ChunkStream, HttpUpstream, HttpPeer, PeerSource, SourceError, UpstreamSource,
     },
     store::{StagedWeights, WeightStore, WeightStoreError, CompleteWeights},
     transfer::{TransferError, TransferOptions, TransferReport, TransferSources, WeightTransfer},
--- a/crates/swarm/src/source.rs
+++ b/crates/swarm/src/source.rs
@@ -64,7 +64,7 @@
 }
 
 /// An upstream that holds published versions.
-pub trait WeightSource {
+pub trait UpstreamSource {
     /// Reads the manifest of a version.
     fn manifest(
         &self,
@@ -105,19 +105,19 @@
 
 /// Origin or store: `GET /weights/<model>/<version>/manifest` and `.../data` with `Range`.
 #[derive(Clone)]
-pub struct HttpOrigin {
+pub struct HttpUpstream {
     client: Client,
     address: String,
 }
 
-impl HttpOrigin {
+impl HttpUpstream {
     /// An upstream at `host:port`.
     pub fn new(client: Client, address: &str) -> Self {
         Self { client, address: address.to_owned() }
     }
 }
 
-impl WeightSource for HttpOrigin {
+impl UpstreamSource for HttpUpstream {
     fn manifest(
         &self,
         model: &ModelName,
--- a/crates/swarm/src/transfer.rs
+++ b/crates/swarm/src/transfer.rs
@@ -9,7 +9,7 @@
         SwarmPlanner,
     },
     server::ChunkHandler,
-    source::{ChunkRequest, ChunkStream, PeerSource, SourceError, WeightSource},
+    source::{ChunkRequest, ChunkStream, PeerSource, SourceError, UpstreamSource},
     store::{StagedWeights, WeightStore, WeightStoreError, CompleteWeights},
 };
 use egretseam_proto::{ChunkDigest, InstanceName};
@@ -65,9 +65,9 @@
 #[derive(Clone)]
 pub struct TransferSources {
     /// The weight store, if there is one.
-    pub store: Option<Rc<dyn WeightSource>>,
+    pub store: Option<Rc<dyn UpstreamSource>>,
     /// The origin.
-    pub origin: Rc<dyn WeightSource>,
+    pub origin: Rc<dyn UpstreamSource>,
 }
 
 /// What a transfer has done so far.
