--- a/crates/agent/src/follower.rs
+++ b/crates/agent/src/follower.rs
@@ -18,7 +18,7 @@
 };
 use egretseam_proto::{ManifestId, ProfileName, ServingVersion, TargetState};
 use egretseam_rpc::{EntryLink, LinkOptions, SubmitReply};
-use egretseam_swarm::{TransferError, CompleteWeights};
+use egretseam_swarm::{CompleteWeights, TransferError};
 use std::{rc::Rc, time::Duration};
 use tokio::{net::TcpStream, time::Instant};
 
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -79,8 +79,8 @@
         self.peer_bytes.set((past.peer_bytes + report.peer_bytes) as i64);
         self.bad_chunks.set((past.bad_chunks + report.bad_chunks) as i64);
         self.cross_zone_chunks.set((past.cross_zone_chunks + report.cross_zone_chunks) as i64);
-        self.chunks_have.set(i64::from(report.have));
-        self.chunks_total.set(i64::from(report.total));
+        self.chunks_have.set(i64::from(report.chunks_have));
+        self.chunks_total.set(i64::from(report.chunks_total));
     }
 }
 
@@ -127,19 +127,20 @@
         self.serving.borrow().clone()
     }
 
-    /// What transfers have done since the agent started; `have` and `total` are of the last one.
+    /// What transfers have done since the agent started; `chunks_have` and `chunks_total` are of the
+    /// last one.
     pub fn transfers(&self) -> TransferReport {
         let (past, now) = (self.past_transfers.get(), self.transfer.get());
         TransferReport {
-            have: now.have,
-            total: now.total,
+            chunks_have: now.chunks_have,
+            chunks_total: now.chunks_total,
             origin_bytes: past.origin_bytes + now.origin_bytes,
             store_bytes: past.store_bytes + now.store_bytes,
             peer_bytes: past.peer_bytes + now.peer_bytes,
             cross_zone_chunks: past.cross_zone_chunks + now.cross_zone_chunks,
             bad_chunks: past.bad_chunks + now.bad_chunks,
-            wasted_chunks: past.wasted_chunks + now.wasted_chunks,
-            have_calls: past.have_calls + now.have_calls,
+            duplicate_chunks: past.duplicate_chunks + now.duplicate_chunks,
+            have_requests: past.have_requests + now.have_requests,
         }
     }
 
@@ -212,8 +213,8 @@
             serving: self.serving.borrow().clone(),
             in_flight: self.in_flight.get(),
             engine_load: engine.as_ref().map_or(0, |state| state.running + state.waiting),
-            chunks_have: transfer.have,
-            chunks_total: transfer.total,
+            chunks_have: transfer.chunks_have,
+            chunks_total: transfer.chunks_total,
             sequence: self.sequence.get(),
         }
     }
--- a/crates/agent/src/weights.rs
+++ b/crates/agent/src/weights.rs
@@ -5,8 +5,8 @@
 use egretseam_proto::ManifestId;
 use egretseam_rpc::PeerRecord;
 use egretseam_swarm::{
-    HttpUpstream, HttpPeer, PeerSource, PlannerPeer, SourceError, TransferError, TransferReport,
-    TransferSources, WeightManifest, UpstreamSource, WeightTransfer, CompleteWeights,
+    CompleteWeights, HttpPeer, HttpUpstream, PeerSource, PlannerPeer, SourceError, TransferError,
+    TransferReport, TransferSources, UpstreamSource, WeightManifest, WeightTransfer,
 };
 use std::{rc::Rc, time::Duration};
 
@@ -92,11 +92,15 @@
     fn drop(&mut self) {
         self.transfer.stop();
         let report = self.transfer.report();
-        let (have, total) = (report.have, report.total);
+        let (chunks_have, chunks_total) = (report.chunks_have, report.chunks_total);
         self.shared.transfer.set(report);
         let sum = self.shared.transfers();
         self.shared.past_transfers.set(sum);
-        self.shared.transfer.set(TransferReport { have, total, ..TransferReport::default() });
+        self.shared.transfer.set(TransferReport {
+            chunks_have,
+            chunks_total,
+            ..TransferReport::default()
+        });
         self.shared.counters.show_transfer(&self.shared.transfer.get(), &sum);
     }
 }
@@ -202,8 +206,9 @@
 
 fn upstreams(shared: &AgentShared) -> TransferSources {
     let client = || shared.client.clone();
-    let source =
-        |address: &String| -> Rc<dyn UpstreamSource> { Rc::new(HttpUpstream::new(client(), address)) };
+    let source = |address: &String| -> Rc<dyn UpstreamSource> {
+        Rc::new(HttpUpstream::new(client(), address))
+    };
     TransferSources {
         store: shared.options.store_address.as_ref().map(source),
         origin: source(&shared.options.origin_address),
--- a/crates/swarm/src/lib.rs
+++ b/crates/swarm/src/lib.rs
@@ -36,9 +36,9 @@
     },
     server::{ChunkHandler, ServerCounters},
     source::{
-        ChunkRequest, ChunkStream, HttpUpstream, HttpPeer, PeerSource, SourceError, UpstreamSource,
+        ChunkRequest, ChunkStream, HttpPeer, HttpUpstream, PeerSource, SourceError, UpstreamSource,
     },
-    store::{StagedWeights, WeightStore, WeightStoreError, CompleteWeights},
+    store::{CompleteWeights, StagedWeights, WeightStore, WeightStoreError},
     transfer::{TransferError, TransferOptions, TransferReport, TransferSources, WeightTransfer},
     transfer_window::{MAX_CROSS_ZONE_PARTS, MAX_SAME_ZONE_PARTS, PART_BYTES, TransferWindow},
 };
--- a/crates/swarm/src/server.rs
+++ b/crates/swarm/src/server.rs
@@ -5,7 +5,7 @@
     link_pacer::LinkPacer,
     manifest::WeightManifest,
     source::HAVE_HEADER,
-    store::{StagedWeights, CompleteWeights},
+    store::{CompleteWeights, StagedWeights},
 };
 use actix_http::{HttpMessage, Method, Request, Response, StatusCode};
 use bytes::Bytes;
--- a/crates/swarm/src/store.rs
+++ b/crates/swarm/src/store.rs
@@ -180,7 +180,10 @@
     ///
     /// # Errors
     /// Fails if the disk refuses.
-    pub fn find_complete(&self, id: ManifestId) -> Result<Option<CompleteWeights>, WeightStoreError> {
+    pub fn find_complete(
+        &self,
+        id: ManifestId,
+    ) -> Result<Option<CompleteWeights>, WeightStoreError> {
         let folder = self.folder.join(WHOLE).join(id.to_string());
         if !folder.exists() {
             return Ok(None);
--- a/crates/swarm/src/transfer.rs
+++ b/crates/swarm/src/transfer.rs
@@ -10,7 +10,7 @@
     },
     server::ChunkHandler,
     source::{ChunkRequest, ChunkStream, PeerSource, SourceError, UpstreamSource},
-    store::{StagedWeights, WeightStore, WeightStoreError, CompleteWeights},
+    store::{CompleteWeights, StagedWeights, WeightStore, WeightStoreError},
 };
 use egretseam_proto::{ChunkDigest, InstanceName};
 use futures::StreamExt;
@@ -74,9 +74,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransferReport {
     /// Chunks present.
-    pub have: u32,
+    pub chunks_have: u32,
     /// Chunks of the version.
-    pub total: u32,
+    pub chunks_total: u32,
     /// Bytes fetched from the origin.
     pub origin_bytes: u64,
     /// Bytes fetched from the store.
@@ -88,9 +88,9 @@
     /// Chunks dropped because they did not match.
     pub bad_chunks: u64,
     /// Chunks that arrived twice, by hedging.
-    pub wasted_chunks: u64,
+    pub duplicate_chunks: u64,
     /// Questions asked of neighbours.
-    pub have_calls: u64,
+    pub have_requests: u64,
 }
 
 #[derive(Debug, Default)]
@@ -99,7 +99,7 @@
     store: Cell<u64>,
     peers: Cell<u64>,
     wasted: Cell<u64>,
-    have_calls: Cell<u64>,
+    have_requests: Cell<u64>,
 }
 
 /// One version on its way to this instance.
@@ -186,15 +186,15 @@
     pub fn report(&self) -> TransferReport {
         let planner = self.planner.borrow();
         TransferReport {
-            have: planner.have().count(),
-            total: self.manifest.chunk_count(),
+            chunks_have: planner.have().count(),
+            chunks_total: self.manifest.chunk_count(),
             origin_bytes: self.bytes.origin.get(),
             store_bytes: self.bytes.store.get(),
             peer_bytes: self.bytes.peers.get(),
             cross_zone_chunks: planner.cross_zone_chunks(),
             bad_chunks: planner.bad_chunks(),
-            wasted_chunks: self.bytes.wasted.get(),
-            have_calls: self.bytes.have_calls.get(),
+            duplicate_chunks: self.bytes.wasted.get(),
+            have_requests: self.bytes.have_requests.get(),
         }
     }
 
@@ -249,7 +249,7 @@
             if self.stopped.get() || self.have.borrow().is_full() {
                 return;
             }
-            self.bytes.have_calls.set(self.bytes.have_calls.get() + 1);
+            self.bytes.have_requests.set(self.bytes.have_requests.get() + 1);
             let pause = match source.have(id, known, HAVE_WAIT).await {
                 Ok(text) => {
                     known = self.take_have(&name, &text).unwrap_or(known);
