--- a/crates/swarm/src/transfer.rs
+++ b/crates/swarm/src/transfer.rs
@@ -9,8 +9,8 @@
         SwarmPlanner,
     },
     server::ChunkHandler,
-    source::{ChunkRequest, ChunkStream, PeerSource, SourceError, WeightSource},
-    store::{StagedWeights, WeightStore, WeightStoreError, WholeWeights},
+    source::{ChunkRequest, ChunkStream, PeerSource, SourceError, UpstreamSource},
+    store::{CompleteWeights, StagedWeights, WeightStore, WeightStoreError},
 };
 use egretseam_proto::{ChunkDigest, InstanceName};
 use futures::StreamExt;
@@ -65,18 +65,18 @@
 #[derive(Clone)]
 pub struct TransferSources {
     /// The weight store, if there is one.
-    pub store: Option<Rc<dyn WeightSource>>,
+    pub store: Option<Rc<dyn UpstreamSource>>,
     /// The origin.
-    pub origin: Rc<dyn WeightSource>,
+    pub origin: Rc<dyn UpstreamSource>,
 }
 
 /// What a transfer has done so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransferReport {
     /// Chunks present.
-    pub have: u32,
+    pub chunks_have: u32,
     /// Chunks of the version.
-    pub total: u32,
+    pub chunks_total: u32,
     /// Bytes fetched from the origin.
     pub origin_bytes: u64,
     /// Bytes fetched from the store.
@@ -88,9 +88,9 @@
     /// Chunks dropped because they did not match.
     pub bad_chunks: u64,
     /// Chunks that arrived twice, by hedging.
-    pub wasted_chunks: u64,
+    pub duplicate_chunks: u64,
     /// Questions asked of neighbours.
-    pub have_calls: u64,
+    pub have_requests: u64,
 }
 
 #[derive(Debug, Default)]
@@ -99,7 +99,7 @@
     store: Cell<u64>,
     peers: Cell<u64>,
     wasted: Cell<u64>,
-    have_calls: Cell<u64>,
+    have_requests: Cell<u64>,
 }
 
 /// One version on its way to this instance.
@@ -186,15 +186,15 @@
     pub fn report(&self) -> TransferReport {
         let planner = self.planner.borrow();
         TransferReport {
-            have: planner.have().count(),
-            total: self.manifest.chunk_count(),
+            chunks_have: planner.have().count(),
+            chunks_total: self.manifest.chunk_count(),
             origin_bytes: self.bytes.origin.get(),
             store_bytes: self.bytes.store.get(),
             peer_bytes: self.bytes.peers.get(),
             cross_zone_chunks: planner.cross_zone_chunks(),
             bad_chunks: planner.bad_chunks(),
-            wasted_chunks: self.bytes.wasted.get(),
-            have_calls: self.bytes.have_calls.get(),
+            duplicate_chunks: self.bytes.wasted.get(),
+            have_requests: self.bytes.have_requests.get(),
         }
     }
 
@@ -203,7 +203,7 @@
     /// # Errors
     /// Ends when the disk refuses or the transfer is stopped. What is on disk stays, and a new
     /// transfer of the same version goes on from it.
-    pub async fn run(self: &Rc<Self>) -> Result<WholeWeights, TransferError> {
+    pub async fn run(self: &Rc<Self>) -> Result<CompleteWeights, TransferError> {
         let mut ticks = tokio::time::interval(PLAN_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -227,12 +227,12 @@
         }
     }
 
-    async fn finish(&self) -> Result<WholeWeights, TransferError> {
+    async fn finish(&self) -> Result<CompleteWeights, TransferError> {
         // Reading and syncing gigabytes would stall this thread, so a blocking one does it.
         let staged = self.staged.clone();
         let whole = actix_rt::task::spawn_blocking(move || staged.finish()).await;
         let whole = whole.expect("the verifying task does not panic")?;
-        self.handler.share_whole(&whole)?;
+        self.handler.share_complete(&whole)?;
         Ok(whole)
     }
 
@@ -249,7 +249,7 @@
             if self.stopped.get() || self.have.borrow().is_full() {
                 return;
             }
-            self.bytes.have_calls.set(self.bytes.have_calls.get() + 1);
+            self.bytes.have_requests.set(self.bytes.have_requests.get() + 1);
             let pause = match source.have(id, known, HAVE_WAIT).await {
                 Ok(text) => {
                     known = self.take_have(&name, &text).unwrap_or(known);
