--- a/crates/swarm/src/chunk_pace.rs
+++ b/crates/swarm/src/chunk_pace.rs
@@ -1,52 +1,53 @@
-//! How fast a version's chunks come, and when all will be here.
+//! Measures how fast the chunks of a version arrive and estimates when it will be complete.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time without a new chunk after which no more are counted on; over the narrow links of instances
-/// one comes about every 50 ms.
-const GAIN_PAUSE: Duration = Duration::from_millis(700);
+/// Time without a new chunk after which arrivals count as stopped. Over the low-bandwidth links of
+/// instances a chunk arrives about every 50 ms.
+const MAX_ARRIVAL_GAP: Duration = Duration::from_millis(700);
 
-/// The pace at which chunks have come since they last began to.
+/// The rate of chunk arrivals since the last gap.
 #[derive(Clone, Copy, Debug)]
 pub struct ChunkPace {
-    /// How many were here when the count began, and when that was.
-    began_with: u32,
-    began_at: Instant,
-    held: u32,
-    gained_at: Instant,
+    /// Chunks present when the measurement started.
+    start_count: u32,
+    started_at: Instant,
+    count: u32,
+    last_arrival: Instant,
 }
 
 impl ChunkPace {
-    /// A count that begins now with so many chunks.
-    pub fn new(held: u32, now: Instant) -> Self {
-        Self { began_with: held, began_at: now, held, gained_at: now }
+    /// Starts a measurement now, with `count` chunks present.
+    pub fn new(count: u32, now: Instant) -> Self {
+        Self { start_count: count, started_at: now, count, last_arrival: now }
     }
 
-    /// Takes in how many chunks are here after another one came.
+    /// Records how many chunks are present after another one arrived.
     ///
-    /// Failure guarded: the origin was gone for seconds, and every chunk that comes after it seems to need
-    /// its part of the pause. A version that was two seconds away was expected in half a minute, and engines
-    /// took an overtaken one meanwhile. After a pause the count begins anew.
-    pub fn record(&mut self, held: u32, now: Instant) {
-        if now.saturating_duration_since(self.gained_at) > GAIN_PAUSE {
-            *self = Self::new(held, now);
+    /// After a gap the measurement starts over. Otherwise an origin that was unreachable for seconds
+    /// makes every later chunk look slow: a version that is two seconds from complete is expected in
+    /// half a minute, and engines load a superseded one meanwhile.
+    pub fn record(&mut self, count: u32, now: Instant) {
+        if now.saturating_duration_since(self.last_arrival) > MAX_ARRIVAL_GAP {
+            *self = Self::new(count, now);
             return;
         }
-        self.held = held;
-        self.gained_at = now;
+        self.count = count;
+        self.last_arrival = now;
     }
 
-    /// How long until `count` chunks are here, if they go on coming as they have; `None` if they have
-    /// stopped or none has come.
-    pub fn time_to_complete(&self, count: u32, now: Instant) -> Option<Duration> {
-        let missing = count.saturating_sub(self.held);
+    /// Estimated time until `total` chunks are present, at the measured rate; `None` if arrivals have
+    /// stopped or none was recorded.
+    pub fn time_to_complete(&self, total: u32, now: Instant) -> Option<Duration> {
+        let missing = total.saturating_sub(self.count);
         if missing == 0 {
             return Some(Duration::ZERO);
         }
-        let gained = self.held.saturating_sub(self.began_with);
-        let has_stopped = now.saturating_duration_since(self.gained_at) > GAIN_PAUSE;
-        let took = now.saturating_duration_since(self.began_at);
-        (gained > 0 && !has_stopped).then(|| took.mul_f64(f64::from(missing) / f64::from(gained)))
+        let arrived = self.count.saturating_sub(self.start_count);
+        let has_stopped = now.saturating_duration_since(self.last_arrival) > MAX_ARRIVAL_GAP;
+        let elapsed = now.saturating_duration_since(self.started_at);
+        (arrived > 0 && !has_stopped)
+            .then(|| elapsed.mul_f64(f64::from(missing) / f64::from(arrived)))
     }
 }
--- a/crates/swarm/src/chunk_set.rs
+++ b/crates/swarm/src/chunk_set.rs
@@ -1,6 +1,6 @@
-//! A set of chunk numbers as a bitmap.
+//! A set of chunk indices as a bitmap.
 
-/// Which chunks of one manifest someone has.
+/// The chunks of one manifest that an instance has.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChunkSet {
     words: Vec<u64>,
@@ -23,7 +23,7 @@
         set
     }
 
-    /// How many chunks the manifest has.
+    /// Number of chunks in the manifest.
     pub fn len(&self) -> u32 {
         self.len
     }
@@ -33,7 +33,7 @@
         self.count == 0
     }
 
-    /// How many chunks are in the set.
+    /// Number of chunks in the set.
     pub fn count(&self) -> u32 {
         self.count
     }
@@ -49,7 +49,7 @@
         word >> (chunk % 64) & 1 == 1
     }
 
-    /// Adds `chunk`; returns whether it is new. Numbers past the end are ignored.
+    /// Adds `chunk`; returns whether it is new. Indices past the end are ignored.
     pub fn insert(&mut self, chunk: u32) -> bool {
         if chunk >= self.len || self.contains(chunk) {
             return false;
@@ -69,12 +69,12 @@
         true
     }
 
-    /// The chunks in the set, in order.
+    /// The chunks in the set, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> {
         (0..self.len).filter(|chunk| self.contains(*chunk))
     }
 
-    /// Hexadecimal form for a header: 16 digits for each 64 chunks.
+    /// Hexadecimal form for a header: 16 digits per 64 chunks.
     pub fn to_text(&self) -> String {
         use std::fmt::Write;
         let mut text = String::with_capacity(self.words.len() * 16);
@@ -84,18 +84,19 @@
         text
     }
 
-    /// Reads [`ChunkSet::to_text`]; `None` if it is not a set over `len` chunks.
+    /// Parses the form of [`ChunkSet::to_text`]; `None` if it is not a set over `len` chunks.
     pub fn from_text(text: &str, len: u32) -> Option<Self> {
         let mut set = Self::new(len);
         if !text.is_ascii() || text.len() != set.words.len() * 16 {
             return None;
         }
-        for (at, word) in set.words.iter_mut().enumerate() {
-            *word = u64::from_str_radix(&text[at * 16..(at + 1) * 16], 16).ok()?;
+        for (index, word) in set.words.iter_mut().enumerate() {
+            *word = u64::from_str_radix(&text[index * 16..(index + 1) * 16], 16).ok()?;
         }
-        let beyond = (set.words.len() as u32 * 64).saturating_sub(len);
-        let excess = set.words.last().is_some_and(|w| beyond > 0 && w >> (64 - beyond) != 0);
-        if excess {
+        let unused_bits = (set.words.len() as u32 * 64).saturating_sub(len);
+        let has_unused_bit =
+            set.words.last().is_some_and(|w| unused_bits > 0 && w >> (64 - unused_bits) != 0);
+        if has_unused_bit {
             return None;
         }
         set.count = set.words.iter().map(|word| word.count_ones()).sum();
--- a/crates/swarm/src/lib.rs
+++ b/crates/swarm/src/lib.rs
@@ -1,14 +1,15 @@
-//! Bringing one version of weights to many instances: verified chunk by chunk, fetched from the
-//! origin about once, passed on between peers, and visible to an engine only when whole.
+//! Distributes one version of weights to many instances. Chunks are verified one by one, fetched
+//! from the origin about once and exchanged between peers; an engine sees only complete weights.
 //!
-//! The invariant: a folder under `whole/` holds exactly the bytes that its manifest names. Chunks
-//! are written under `staging/`, each checked against the manifest's digest; when all are there
-//! the whole file is read back and checked again, synced, and renamed. A manifest's id covers its
-//! chunk digests, so a version that changes at the origin is another manifest, and chunks of two
-//! versions can never meet in one file.
+//! Invariant: a folder under `whole/` holds exactly the bytes that its manifest names. Chunks are
+//! written under `staging/`, each checked against the manifest's digest; when all are present, the
+//! complete file is read back, checked again, synced and renamed. A manifest's id covers its chunk
+//! digests, so a version that changes at the origin has another manifest, and chunks of two
+//! versions never mix in one file.
 //!
-//! [`SwarmPlanner`] decides which chunk to fetch from whom and is free of I/O; [`WeightTransfer`]
-//! carries its plans out; [`TransferWindow`] bounds what is on its way over a link; [`WeightStore`] is the disk; [`ChunkHandler`] gives chunks to peers.
+//! [`SwarmPlanner`] decides which chunk to fetch from which source and does no I/O;
+//! [`WeightTransfer`] executes its plans; [`TransferWindow`] limits the parts in flight over a
+//! link; [`WeightStore`] keeps weights on disk; [`ChunkHandler`] serves chunks to peers.
 
 mod chunk_pace;
 mod chunk_set;
--- a/crates/swarm/src/link_monitor.rs
+++ b/crates/swarm/src/link_monitor.rs
@@ -1,114 +1,116 @@
-//! Telling from the times of parts of chunks that the own link is narrower than it was said to be.
+//! Detects from the transfer times of parts that the own link is slower than configured.
 //!
-//! Answers the load pattern of a link that is squeezed to a tenth while weights spread: parts to
-//! and from other instances queue up before live requests, which are then on their way for one or
-//! two seconds, and so is the word that takes them back. An instance sees it first, since all its
-//! parts take longer from wherever they come.
+//! It guards against a link that drops to a tenth of its rate while weights are distributed: parts
+//! to and from other instances queue ahead of live requests, which are then in flight for one or
+//! two seconds, and so are their cancellations. The instance itself notices first, since all its
+//! parts take longer, whichever instance sends them.
 
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
 
-/// Parts that are looked at. The quickest of them counts: parts from one slow neighbour say
-/// nothing of the own link.
-const SAMPLES: usize = 4;
-/// How many times the expected a part may take before the link counts as narrow; other agents'
-/// parts and live answers share it.
-const NARROW_TIMES: f64 = 2.5;
+/// Latest parts that are kept. Only the quickest of them counts: parts from one slow neighbour say
+/// nothing about the own link.
+const SAMPLE_COUNT: usize = 4;
+/// Multiple of the expected time of a part above which the link counts as slow. Below it, the time
+/// may be due to other agents' parts and live responses, which share the link.
+const SLOW_FACTOR: f64 = 2.5;
 
-/// Fewest parts under way, each from another neighbour, of which none comes.
-const FEWEST_QUIET: usize = 3;
-/// How long what was measured counts without anything new.
-const MEMORY: Duration = Duration::from_secs(8);
+/// Least number of parts in flight, each from another neighbour, for a time without any arrival to
+/// count.
+const MIN_IN_FLIGHT: usize = 3;
+/// How long measurements count without a new one.
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(8);
 
-/// One part that was fetched.
+/// Transfer time of one part.
 #[derive(Clone, Copy, Debug)]
 struct PartTime {
-    took: Duration,
-    /// The same as if it had had the link for itself.
-    alone: Duration,
+    elapsed: Duration,
+    /// Estimate of `elapsed` for a part that has the link to itself.
+    unshared: Duration,
 }
 
 impl PartTime {
-    fn new(took: Duration, others: usize) -> Self {
-        // One more for what is given to other instances meanwhile.
-        Self { took, alone: took / (others as u32 + 2) }
+    fn new(elapsed: Duration, others: usize) -> Self {
+        // Two more: this part, and one for what the instance uploads meanwhile.
+        Self { elapsed, unshared: elapsed / (others as u32 + 2) }
     }
 }
 
-/// Times of the last parts that were fetched.
+/// Transfer times of the latest parts that were fetched.
 #[derive(Clone, Debug)]
 pub struct LinkMonitor {
     expected: Duration,
-    times: VecDeque<PartTime>,
-    /// Time without any part while some were under way.
-    quiet: Option<PartTime>,
-    noted_at: Instant,
+    samples: VecDeque<PartTime>,
+    /// Longest time without any arrival while parts were in flight.
+    arrival_gap: Option<PartTime>,
+    recorded_at: Instant,
 }
 
 impl LinkMonitor {
-    /// Nothing measured yet; `expected` is what a part takes on the link as it was said to be.
+    /// A monitor without measurements; `expected` is the time of a part at the link's configured
+    /// rate.
     pub fn new(expected: Duration) -> Self {
-        Self { expected, times: VecDeque::new(), quiet: None, noted_at: Instant::now() }
+        Self { expected, samples: VecDeque::new(), arrival_gap: None, recorded_at: Instant::now() }
     }
 
-    /// Takes in how long a part was on the network, together with so many others of this instance.
-    pub fn record(&mut self, took: Duration, others: usize, now: Instant) {
-        self.noted_at = now;
-        let time = PartTime::new(took, others);
-        self.times.push_back(time);
-        if self.times.len() > SAMPLES {
-            self.times.pop_front();
+    /// Records how long a part was in flight, together with `others` other parts of this instance.
+    pub fn record(&mut self, elapsed: Duration, others: usize, now: Instant) {
+        self.recorded_at = now;
+        let time = PartTime::new(elapsed, others);
+        self.samples.push_back(time);
+        if self.samples.len() > SAMPLE_COUNT {
+            self.samples.pop_front();
         }
-        if !self.is_slow(&time) || self.times.len() == SAMPLES {
-            self.quiet = None;
+        if !self.is_slow(&time) || self.samples.len() == SAMPLE_COUNT {
+            self.arrival_gap = None;
         }
     }
 
-    /// Takes in that of so many parts under way none has come for some time.
+    /// Records that none of `in_flight` parts has arrived for `gap`.
     ///
-    /// Failure guarded: parts that came before the link narrowed outweigh the first that comes after,
-    /// the link counts as usual again for half a second, and requests are sent that are on their way
-    /// for longer than their callers stay. What came before a silence says nothing any more; it ends
-    /// with a part at the usual pace, or with enough of the slow ones.
-    pub fn record_no_arrival(&mut self, quiet: Duration, under_way: usize, now: Instant) {
-        let time = PartTime::new(quiet, under_way.saturating_sub(1));
-        if under_way < FEWEST_QUIET || !self.is_slow(&time) {
+    /// A long gap discards the samples from before it, and ends with a part at the usual speed or
+    /// with enough slow ones. Otherwise parts that arrived before the link slowed down outweigh the
+    /// first one after it, the link counts as usual again for half a second, and requests are sent
+    /// that are in flight for longer than their callers wait.
+    pub fn record_no_arrival(&mut self, gap: Duration, in_flight: usize, now: Instant) {
+        let time = PartTime::new(gap, in_flight.saturating_sub(1));
+        if in_flight < MIN_IN_FLIGHT || !self.is_slow(&time) {
             return;
         }
-        self.noted_at = now;
-        let longest = self.quiet.filter(|held| held.took > time.took);
-        if self.quiet.is_none() {
-            self.times.clear();
+        self.recorded_at = now;
+        let longest = self.arrival_gap.filter(|held| held.elapsed > time.elapsed);
+        if self.arrival_gap.is_none() {
+            self.samples.clear();
         }
-        self.quiet = Some(longest.unwrap_or(time));
+        self.arrival_gap = Some(longest.unwrap_or(time));
     }
 
     fn is_slow(&self, time: &PartTime) -> bool {
-        time.alone > self.expected.mul_f64(NARROW_TIMES)
+        time.unshared > self.expected.mul_f64(SLOW_FACTOR)
     }
 
-    /// How long something is on its way over the link, if that is unusual.
+    /// Estimated time in flight over the link; `None` unless the link is slow.
     pub fn delay(&self, now: Instant) -> Option<Duration> {
-        let narrow = self.narrowness(now)? > 1.0;
-        let quickest = self.times.iter().map(|time| time.took).min();
-        self.quiet.map(|time| time.took).or(quickest).filter(|_| narrow)
+        let slow = self.slowdown(now)? > 1.0;
+        let quickest = self.samples.iter().map(|time| time.elapsed).min();
+        self.arrival_gap.map(|time| time.elapsed).or(quickest).filter(|_| slow)
     }
 
-    /// Part of the link's rate that there seems to be.
+    /// Estimated fraction of the configured rate that the link carries.
     pub fn rate_fraction(&self, now: Instant) -> f64 {
-        self.narrowness(now).map_or(1.0, |narrowness| 1.0 / narrowness.max(1.0))
+        self.slowdown(now).map_or(1.0, |slowdown| 1.0 / slowdown.max(1.0))
     }
 
-    /// How many times longer than may be expected at most the quickest chunk took; `None` before
-    /// there are enough.
-    fn narrowness(&self, now: Instant) -> Option<f64> {
-        if now.saturating_duration_since(self.noted_at) > MEMORY {
+    /// Ratio of the arrival gap, or else of the quickest part's time, to the longest time that still
+    /// counts as usual; `None` without a gap or enough recent samples.
+    fn slowdown(&self, now: Instant) -> Option<f64> {
+        if now.saturating_duration_since(self.recorded_at) > MAX_SAMPLE_AGE {
             return None;
         }
-        let enough = self.times.len() == SAMPLES;
-        let quickest = self.times.iter().map(|time| time.alone).min().filter(|_| enough);
-        let alone = self.quiet.map(|time| time.alone).or(quickest)?;
-        let most = self.expected.as_secs_f64() * NARROW_TIMES;
-        Some(alone.as_secs_f64() / most.max(1e-6))
+        let enough = self.samples.len() == SAMPLE_COUNT;
+        let quickest = self.samples.iter().map(|time| time.unshared).min().filter(|_| enough);
+        let unshared = self.arrival_gap.map(|time| time.unshared).or(quickest)?;
+        let limit = self.expected.as_secs_f64() * SLOW_FACTOR;
+        Some(unshared.as_secs_f64() / limit.max(1e-6))
     }
 }
--- a/crates/swarm/src/path_probe.rs
+++ b/crates/swarm/src/path_probe.rs
@@ -1,48 +1,49 @@
-//! Telling from small questions to other instances that the own link is narrower than it was.
+//! Detects from the round-trip times of probes to other instances that the own link is slow.
 //!
-//! Answers the load pattern of a link that is squeezed while it carries live requests: they queue up
-//! before it and arrive when their callers have left. Whatever fills the link, a question and its
-//! answer wait in the same queue. Several instances are asked, since one may be slow itself.
+//! It guards against a link that slows down while it carries live requests: they queue ahead of it
+//! and arrive after their callers have left. Whatever fills the link, a probe and its reply wait in
+//! the same queue. Several instances are probed, since one may itself be slow.
 
 use egretseam_proto::InstanceName;
 use indexmap::IndexMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time of a question and its answer from which on the link counts as narrow. A burst of weights fills
-/// the links at both ends for a fifth of a second each.
-const NARROW: Duration = Duration::from_millis(800);
-/// Fewest instances that must have something to say.
-const FEWEST_PEERS: usize = 2;
-/// How long an answer counts.
-const MEMORY: Duration = Duration::from_millis(1_000);
+/// Round-trip time from which on the link counts as slow. A burst of weights fills the links at
+/// both ends for a fifth of a second each.
+const SLOW_ROUND_TRIP: Duration = Duration::from_millis(800);
+/// Least number of peers with a known round-trip time for the link to count as slow.
+const MIN_PEERS: usize = 2;
+/// How long a reply counts.
+const MAX_REPLY_AGE: Duration = Duration::from_millis(1_000);
 
-/// What one instance's answers say.
+/// State of the probes to one instance.
 #[derive(Clone, Copy, Debug, Default)]
-struct PeerTime {
-    asked_at: Option<Instant>,
-    /// How long its last answer took, and when it came.
-    took: Option<(Duration, Instant)>,
+struct PeerProbe {
+    /// When the outstanding probe was sent.
+    sent_at: Option<Instant>,
+    /// Round-trip time of the last reply, and when it arrived.
+    last_reply: Option<(Duration, Instant)>,
 }
 
-impl PeerTime {
-    /// How long its answers take at the least; `None` if nothing is known.
-    fn at_least(&self, now: Instant) -> Option<Duration> {
-        let (took, came_at) = self.took?;
-        let awaited = self.asked_at.map(|asked_at| now.saturating_duration_since(asked_at));
-        let is_fresh = now.saturating_duration_since(came_at) < MEMORY;
-        awaited.max(is_fresh.then_some(took))
+impl PeerProbe {
+    /// Lower bound of the present round-trip time; `None` if nothing is known.
+    fn min_round_trip(&self, now: Instant) -> Option<Duration> {
+        let (round_trip, arrived_at) = self.last_reply?;
+        let outstanding = self.sent_at.map(|sent_at| now.saturating_duration_since(sent_at));
+        let is_fresh = now.saturating_duration_since(arrived_at) < MAX_REPLY_AGE;
+        outstanding.max(is_fresh.then_some(round_trip))
     }
 }
 
-/// Questions to some other instances, one at a time to each.
+/// Probes to some other instances, one at a time to each.
 #[derive(Clone, Debug, Default)]
 pub struct PathProbe {
-    peers: IndexMap<InstanceName, PeerTime>,
+    peers: IndexMap<InstanceName, PeerProbe>,
 }
 
 impl PathProbe {
-    /// Sets who is asked.
+    /// Sets which instances are probed.
     pub fn set_peers(&mut self, peers: &[InstanceName]) {
         self.peers.retain(|name, _| peers.contains(name));
         for peer in peers {
@@ -50,45 +51,45 @@
         }
     }
 
-    /// Notes that an instance is asked.
+    /// Records that a probe was sent to an instance.
     pub fn record_probe_sent(&mut self, peer: &InstanceName, now: Instant) {
-        if let Some(time) = self.peers.get_mut(peer) {
-            time.asked_at = Some(now);
+        if let Some(probe) = self.peers.get_mut(peer) {
+            probe.sent_at = Some(now);
         }
     }
 
-    /// Notes that it has answered.
+    /// Records that an instance replied.
     pub fn record_reply(&mut self, peer: &InstanceName, now: Instant) {
-        if let Some(time) = self.peers.get_mut(peer)
-            && let Some(asked_at) = time.asked_at.take()
+        if let Some(probe) = self.peers.get_mut(peer)
+            && let Some(sent_at) = probe.sent_at.take()
         {
-            time.took = Some((now.saturating_duration_since(asked_at), now));
+            probe.last_reply = Some((now.saturating_duration_since(sent_at), now));
         }
     }
 
-    /// Notes that it cannot be reached. An instance that is down says nothing of the link, and counts
-    /// again once it has answered.
+    /// Records that an instance cannot be reached. One that is down says nothing about the link; it
+    /// counts again after its next reply.
     pub fn record_unreachable(&mut self, peer: &InstanceName) {
-        if let Some(time) = self.peers.get_mut(peer) {
-            *time = PeerTime::default();
+        if let Some(probe) = self.peers.get_mut(peer) {
+            *probe = PeerProbe::default();
         }
     }
 
-    /// Notes that this process stood still until now.
+    /// Records that this process was paused until now, and restarts the time of outstanding probes.
     ///
-    /// Failure guarded: a process that was frozen takes the time for that of answers that lie there
+    /// Otherwise a process that was frozen counts the pause as the round trip of replies that wait
     /// unread, and entries send nothing to its target.
     pub fn record_process_pause(&mut self, now: Instant) {
-        for time in self.peers.values_mut().filter(|time| time.asked_at.is_some()) {
-            time.asked_at = Some(now);
+        for probe in self.peers.values_mut().filter(|probe| probe.sent_at.is_some()) {
+            probe.sent_at = Some(now);
         }
     }
 
-    /// How long a question and its answer are on their way, if that is unusual.
+    /// Shortest round-trip time to any of the peers; `None` unless the link is slow.
     pub fn delay(&self, now: Instant) -> Option<Duration> {
-        let times: Vec<Duration> =
-            self.peers.values().filter_map(|time| time.at_least(now)).collect();
-        let quickest = times.iter().min().filter(|_| times.len() >= FEWEST_PEERS)?;
-        (*quickest >= NARROW).then_some(*quickest)
+        let round_trips: Vec<Duration> =
+            self.peers.values().filter_map(|probe| probe.min_round_trip(now)).collect();
+        let quickest = round_trips.iter().min().filter(|_| round_trips.len() >= MIN_PEERS)?;
+        (*quickest >= SLOW_ROUND_TRIP).then_some(*quickest)
     }
 }
--- a/crates/swarm/src/transfer_window.rs
+++ b/crates/swarm/src/transfer_window.rs
@@ -1,147 +1,152 @@
-//! How much of the weights may be on its way over an instance's link at a time.
+//! Limits how much of the weights is in flight over an instance's link.
 //!
-//! Answers the load pattern of a link that narrows while weights spread: what is on its way by then
-//! queues before live requests, which arrive when their callers have left, and cannot be recalled. So
-//! little is on its way at any time, in small parts, and less as soon as they are late: background
-//! traffic that yields to the rest, as in RFC 6817.
+//! It guards against a link that slows down while weights are distributed: what is in flight by
+//! then queues ahead of live requests, which arrive after their callers have left, and cannot be
+//! recalled. So little is in flight at any time, in small parts, and less as soon as they are late:
+//! background traffic that yields to other traffic, as in RFC 6817.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Size of a part in bytes.
+/// Most bytes of a chunk that one call fetches.
 pub const PART_BYTES: u64 = 4 * 1024;
-/// Most parts on their way at a time in one direction, from or to instances of the own availability
-/// zone. With those of the other direction they take a link of a fifteenth of the usual rate half a
-/// second.
+/// Most parts in flight in one direction, from or to instances of the own availability zone.
+/// Together with those of the other direction they occupy a link at a fifteenth of its usual rate
+/// for half a second.
 pub const MAX_SAME_ZONE_PARTS: usize = 5;
-/// The same from or to instances of other availability zones.
+/// Most parts in flight in one direction, from or to instances of other availability zones.
 pub const MAX_CROSS_ZONE_PARTS: usize = 3;
 
-/// Parts that may be on their way before any has arrived.
-const FIRST_PARTS: f64 = 2.0;
-/// Time within which a part arrives over a usual link, also while weights spread.
-const PROMPT: Duration = Duration::from_millis(150);
+/// Window size before any part has arrived.
+const INITIAL_PARTS: f64 = 2.0;
+/// Time in flight above which a part is late. On a link at its usual rate parts arrive within it,
+/// also while weights are distributed.
+const LATE_AFTER: Duration = Duration::from_millis(150);
 
-/// A part on its way.
+/// A part in flight.
 #[derive(Clone, Copy, Debug)]
-struct PartOnWay {
+struct InFlightPart {
     id: u64,
     sent_at: Instant,
-    /// Whether a part that was asked for later has arrived.
+    /// Whether a part with a higher `id` has arrived.
     overtaken: bool,
 }
 
-/// Parts of chunks on their way in one direction.
+/// Congestion window over the parts of chunks that are in flight in one direction.
 ///
-/// What is on its way over one link arrives in its sequence. A part that others overtake is held up
-/// elsewhere, at the link of the instance at its other end, and does not count. What crosses availability
-/// zones may be held up between them, all of it, so it has a window of its own.
+/// Parts in flight over one link arrive in sequence. A part that later ones overtake is held up
+/// elsewhere, at the link of the instance at its other end, and does not count towards the window.
+/// Parts that cross availability zones may all be held up between the zones, so they have a window
+/// of their own.
 #[derive(Clone, Debug)]
 pub struct TransferWindow {
-    most: usize,
+    max_size: usize,
     size: f64,
     last_id: u64,
-    parts: Vec<PartOnWay>,
+    parts: Vec<InFlightPart>,
     /// When a part last arrived.
-    came_at: Option<Instant>,
-    /// When a part last arrived promptly.
-    prompt_at: Option<Instant>,
+    arrived_at: Option<Instant>,
+    /// When a part last arrived within [`LATE_AFTER`].
+    on_time_at: Option<Instant>,
     shrunk_at: Option<Instant>,
 }
 
 impl TransferWindow {
-    /// Nothing on its way; never more than `most` parts.
-    pub fn new(most: usize) -> Self {
+    /// A window without parts in flight that never grows beyond `max_size` parts.
+    pub fn new(max_size: usize) -> Self {
         Self {
-            most: most.max(1),
-            size: FIRST_PARTS.min(most.max(1) as f64),
+            max_size: max_size.max(1),
+            size: INITIAL_PARTS.min(max_size.max(1) as f64),
             last_id: 0,
             parts: Vec::new(),
-            came_at: None,
-            prompt_at: None,
+            arrived_at: None,
+            on_time_at: None,
             shrunk_at: None,
         }
     }
 
-    /// How many parts may be on their way.
+    /// Number of parts that may be in flight.
     pub fn size(&self) -> usize {
         self.size as usize
     }
 
-    /// How many parts are on their way over this link.
+    /// Number of parts in flight over this link.
     pub fn in_flight(&self) -> usize {
-        self.counted().count()
+        self.on_this_link().count()
     }
 
-    /// How many parts are held up elsewhere.
+    /// Number of parts that are held up elsewhere.
     pub fn overtaken(&self) -> usize {
         self.parts.iter().filter(|part| part.overtaken).count()
     }
 
-    /// Whether one more may be on its way.
+    /// Whether the window allows one more part in flight.
     pub fn has_room(&self) -> bool {
         self.in_flight() < self.size()
     }
 
-    /// Time without any part while some are on their way over this link.
+    /// Time without any arrival while parts are in flight over this link; `None` if none are.
     pub fn time_since_arrival(&self, now: Instant) -> Option<Duration> {
-        let first = self.counted().map(|part| part.sent_at).min()?;
-        Some(now.saturating_duration_since(self.came_at.map_or(first, |at| at.max(first))))
+        let first = self.on_this_link().map(|part| part.sent_at).min()?;
+        Some(now.saturating_duration_since(self.arrived_at.map_or(first, |at| at.max(first))))
     }
 
-    /// Notes that a part is on its way; returns its number.
+    /// Adds a part in flight; returns its id.
     pub fn begin(&mut self, now: Instant) -> u64 {
         self.last_id += 1;
-        self.parts.push(PartOnWay { id: self.last_id, sent_at: now, overtaken: false });
+        self.parts.push(InFlightPart { id: self.last_id, sent_at: now, overtaken: false });
         self.last_id
     }
 
-    /// Notes that a part has arrived after so long; returns whether it says something of this link.
+    /// Removes a part that has arrived after `elapsed`; returns whether its time says something
+    /// about this link.
     ///
-    /// One other instance may be slow or far by itself: parts that are late count only while none
-    /// arrives promptly.
-    pub fn end(&mut self, id: u64, took: Duration, now: Instant) -> bool {
-        let counts = self.counted().any(|part| part.id == id);
+    /// A single other instance may be slow or far away: late parts shrink the window only while
+    /// none arrives on time.
+    pub fn end(&mut self, id: u64, elapsed: Duration, now: Instant) -> bool {
+        let is_on_this_link = self.on_this_link().any(|part| part.id == id);
         self.parts.retain(|part| part.id != id);
         for part in self.parts.iter_mut().filter(|part| part.id < id) {
             part.overtaken = true;
         }
-        self.came_at = Some(now);
-        if took <= PROMPT {
-            self.prompt_at = Some(now);
-            self.size = (self.size + 1.0 / self.size).min(self.most as f64);
-        } else if counts {
-            self.note_late(now);
+        self.arrived_at = Some(now);
+        if elapsed <= LATE_AFTER {
+            self.on_time_at = Some(now);
+            self.size = (self.size + 1.0 / self.size).min(self.max_size as f64);
+        } else if is_on_this_link {
+            self.shrink(now);
         }
-        counts
+        is_on_this_link
     }
 
-    /// Notes that a part will not arrive; it says nothing of the link.
+    /// Removes a part that will not arrive; it says nothing about the link.
     pub fn cancel(&mut self, id: u64) {
         self.parts.retain(|part| part.id != id);
     }
 
-    /// Gives up parts that were sent longer than `limit` ago.
+    /// Removes parts that were sent longer than `limit` ago.
     pub fn expire(&mut self, limit: Duration, now: Instant) {
         self.parts.retain(|part| now.saturating_duration_since(part.sent_at) <= limit);
     }
 
-    /// Looks whether parts are late that are still on their way.
+    /// Shrinks the window if parts that are still in flight are late.
     pub fn check_late(&mut self, now: Instant) {
-        if self.time_since_arrival(now).is_some_and(|quiet| quiet > PROMPT) {
-            self.note_late(now);
+        if self.time_since_arrival(now).is_some_and(|elapsed| elapsed > LATE_AFTER) {
+            self.shrink(now);
         }
     }
 
-    fn note_late(&mut self, now: Instant) {
-        let is_past = |at: Instant| now.saturating_duration_since(at) > PROMPT;
-        if self.prompt_at.is_none_or(is_past) && self.shrunk_at.is_none_or(is_past) {
+    /// Halves the window, unless a part arrived on time or the window shrank within [`LATE_AFTER`].
+    fn shrink(&mut self, now: Instant) {
+        let is_past = |at: Instant| now.saturating_duration_since(at) > LATE_AFTER;
+        if self.on_time_at.is_none_or(is_past) && self.shrunk_at.is_none_or(is_past) {
             self.size = (self.size / 2.0).max(1.0);
             self.shrunk_at = Some(now);
         }
     }
 
-    fn counted(&self) -> impl Iterator<Item = &PartOnWay> {
+    /// Parts in flight that are not held up elsewhere.
+    fn on_this_link(&self) -> impl Iterator<Item = &InFlightPart> {
         self.parts.iter().filter(|part| !part.overtaken)
     }
 }
