--- a/crates/swarm/src/chunk_pace.rs
+++ b/crates/swarm/src/chunk_pace.rs
@@ -25,9 +25,9 @@
 
     /// Records how many chunks are present after another one arrived.
     ///
-    /// After a gap the measurement starts over. Otherwise an origin that was unreachable for seconds
-    /// makes every later chunk look slow: a version that is two seconds from complete is expected in
-    /// half a minute, and engines load a superseded one meanwhile.
+    /// After a gap the measurement starts over. Otherwise an origin that was unreachable for
+    /// seconds makes every later chunk look slow: a version that is two seconds from complete is
+    /// expected in half a minute, and engines load a superseded one meanwhile.
     pub fn record(&mut self, count: u32, now: Instant) {
         if now.saturating_duration_since(self.last_arrival) > MAX_ARRIVAL_GAP {
             *self = Self::new(count, now);
@@ -37,8 +37,8 @@
         self.last_arrival = now;
     }
 
-    /// Estimated time until `total` chunks are present, at the measured rate; `None` if arrivals have
-    /// stopped or none was recorded.
+    /// Estimated time until `total` chunks are present, at the measured rate; `None` if arrivals
+    /// have stopped or none was recorded.
     pub fn time_to_complete(&self, total: u32, now: Instant) -> Option<Duration> {
         let missing = total.saturating_sub(self.count);
         if missing == 0 {
--- a/crates/swarm/src/link_monitor.rs
+++ b/crates/swarm/src/link_monitor.rs
@@ -101,8 +101,8 @@
         self.slowdown(now).map_or(1.0, |slowdown| 1.0 / slowdown.max(1.0))
     }
 
-    /// Ratio of the arrival gap, or else of the quickest part's time, to the longest time that still
-    /// counts as usual; `None` without a gap or enough recent samples.
+    /// Ratio of the arrival gap, or else of the quickest part's time, to the longest time that
+    /// still counts as usual; `None` without a gap or enough recent samples.
     fn slowdown(&self, now: Instant) -> Option<f64> {
         if now.saturating_duration_since(self.recorded_at) > MAX_SAMPLE_AGE {
             return None;
--- a/crates/swarm/src/link_pacer.rs
+++ b/crates/swarm/src/link_pacer.rs
@@ -3,7 +3,8 @@
 use std::{cell::Cell, time::Duration};
 use tokio::time::Instant;
 
-/// How far the schedule may lag behind real time and still catch up; covers the timer's granularity.
+/// How far the schedule may lag behind real time and still catch up; covers the timer's
+/// granularity.
 const MAX_CATCH_UP: Duration = Duration::from_millis(8);
 
 /// Lower bound of the fraction of the rate in use, so that an instance never stops uploading.
--- a/crates/swarm/src/planner.rs
+++ b/crates/swarm/src/planner.rs
@@ -1,15 +1,16 @@
-//! Which chunk to fetch next, and from whom. Pure: time comes in as an argument.
+//! Decides which chunk to fetch next and from which source. Does no I/O and reads no clock: the
+//! caller passes the time in.
 //!
-//! Tables hold what is known of chunks and peers; the systems in `choose.rs` run over them whenever
-//! a slot is free. Nothing is decided centrally. What makes many instances act as one:
+//! The planner stores what is known of chunks and peers; `choose.rs` selects fetches from it
+//! whenever a slot is free. Nothing is decided centrally. Instances coordinate by these rules:
 //!
-//! - Every instance ranks the announced swarm for each chunk by the same hash. The first few ranks,
-//!   as many as the profile allows copies, may fetch that chunk from the origin; others wait for it
-//!   to appear at a peer. So the origin gives each chunk about once without anybody counting.
+//! - Every instance ranks the announced swarm for each chunk by the same hash. The first ranks, as
+//!   many as the profile allows copies, may fetch that chunk from the origin; the others wait until
+//!   a peer has it. So the origin sends each chunk about once, and nobody has to count.
 //! - When an instance dies, it leaves the announced swarm and the next rank takes its place. When
-//!   one hangs, those that starve pass it over.
-//! - Among the chunks at peers the rarest goes first, ties broken differently at each instance, so
-//!   that neighbours soon hold different things to exchange.
+//!   one hangs, the instances that starve skip it.
+//! - Among the chunks that peers have, the rarest is fetched first. Ties are broken differently at
+//!   each instance, so that neighbours soon have different chunks to exchange.
 
 mod choose;
 
@@ -18,45 +19,45 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Number of a chunk within its manifest.
+/// Index of a chunk within its manifest.
 pub type ChunkIndex = u32;
 
-/// How chunks spread. All but the first are baselines for measurements.
+/// How chunks are distributed. All variants but the first are baselines for measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DistributionScheme {
-    /// Peers exchange; the first in rank for a chunk fetches it from the origin.
+    /// Peers exchange chunks; the first-ranked seeder of a chunk fetches it from the origin.
     Swarm,
-    /// Everything comes from the origin.
+    /// Every instance fetches all chunks from the origin.
     OriginOnly,
-    /// Each takes from its parent in a binary tree; the root fetches from the origin.
+    /// Each instance fetches from its parent in a binary tree; the root fetches from the origin.
     Tree,
 }
 
-/// How a transfer weighs time against the origin's bytes.
+/// Limits of a transfer, which trade its duration against the load on the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannerPolicy {
-    /// Copies that may be fetched from the origin.
+    /// Copies of each chunk that may be fetched from the origin.
     pub origin_copies: u32,
     /// Most chunks fetched from peers at a time.
     pub max_peer_fetches: usize,
     /// Most chunks fetched from one peer at a time.
     pub max_fetches_per_peer: usize,
-    /// Most chunks fetched from the origin or store at a time, while the swarm is small; one in a
-    /// larger swarm, whose members together keep the origin's link busy anyway.
+    /// Most chunks fetched from the origin or store at a time in a small swarm. In a large one the
+    /// limit is one, since its members together keep the origin's link busy anyway.
     pub max_origin_fetches: usize,
-    /// Most instances of the swarm that fetch from the origin at a time. Few of them get their first
-    /// chunks soon, and the swarm begins to exchange; many share the origin's link so thinly that
-    /// all their chunks arrive together at the end.
+    /// Most instances of the swarm that fetch from the origin at a time. A few get their first
+    /// chunks soon, and the swarm can start to exchange; many share the origin's link so thinly
+    /// that all their chunks arrive together at the end.
     pub max_seeders: usize,
-    /// Most neighbours.
+    /// Most peers that this instance exchanges chunks with.
     pub max_neighbours: usize,
-    /// Time without a new chunk after which the instances that should have fetched the missing ones
-    /// are passed over.
+    /// Time without progress after which the seeders that should have fetched the missing chunks
+    /// are skipped.
     pub stall_timeout: Duration,
-    /// Time that an instance waits for a chunk to appear in its own availability zone before it
-    /// fetches it across zones, unless it is the first of its zone for that chunk.
+    /// How long an instance waits for a chunk to appear in its own availability zone before it
+    /// fetches it from another, unless it ranks first in its zone for that chunk.
     pub cross_zone_delay: Duration,
-    /// How chunks spread.
+    /// How chunks are distributed.
     pub scheme: DistributionScheme,
 }
 
@@ -76,19 +77,19 @@
     }
 }
 
-/// A peer as announced.
+/// An announced member of the swarm.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannerPeer {
-    /// The target beside it.
+    /// Name of the instance, or of the target beside it.
     pub name: InstanceName,
     /// Its availability zone.
     pub zone: ZoneName,
 }
 
-/// Where a chunk is to come from.
+/// Source of a fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceChoice {
-    /// The weight store, or the origin where there is none or it is refusing.
+    /// The weight store, or the origin if there is no store or it rejects requests.
     Upstream,
     /// A peer.
     Peer(InstanceName),
@@ -97,9 +98,9 @@
 /// A chunk to fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FetchOrder {
-    /// Which.
+    /// The chunk.
     pub chunk: ChunkIndex,
-    /// From whom.
+    /// Where to fetch it from.
     pub source: SourceChoice,
 }
 
@@ -108,77 +109,77 @@
 pub enum FetchFailure {
     /// The bytes do not match the digest.
     Corrupt,
-    /// The source does not have the chunk although it said so.
+    /// The source reported the chunk but does not have it.
     Absent,
-    /// The source is at its limit; come back after this time.
+    /// The source is at its limit; retry after this time.
     Busy(Duration),
-    /// No connection, a broken one, or no progress.
+    /// No connection, a broken connection, or no progress.
     Unreachable,
 }
 
 #[derive(Clone, Debug)]
 struct ActiveFetch {
     source: SourceChoice,
-    since: Duration,
+    started_at: Duration,
 }
 
 #[derive(Clone, Debug, Default)]
-struct ChunkRow {
+struct ChunkState {
     present: bool,
-    active: Vec<ActiveFetch>,
-    /// How many neighbours have it.
+    active_fetches: Vec<ActiveFetch>,
+    /// Number of neighbours that have it.
     holders: u32,
-    /// When a neighbour was first known to have it.
+    /// When a neighbour first reported it.
     seen_at: Option<Duration>,
 }
 
 #[derive(Clone, Debug)]
-struct PeerRow {
+struct PeerState {
     zone: ZoneName,
     have: ChunkSet,
-    active: usize,
-    /// How long the last chunk from it had to wait for its link.
-    queued: Duration,
-    good: u32,
-    bad: u32,
-    /// Failures to reach it in a row.
-    misses: u32,
-    avoid_until: Duration,
+    active_fetches: usize,
+    /// How long the last chunk from it waited for the peer's link.
+    queue_delay: Duration,
+    good_chunks: u32,
+    faults: u32,
+    /// Consecutive failures to reach it.
+    unreachable_count: u32,
+    backoff_until: Duration,
 }
 
-/// Tables of one transfer.
+/// Plans the fetches of one transfer.
 #[derive(Debug)]
 pub struct SwarmPlanner {
     own: PlannerPeer,
     policy: PlannerPolicy,
-    chunks: Vec<ChunkRow>,
+    chunks: Vec<ChunkState>,
     have: ChunkSet,
-    /// Availability zone of the origin, if it matters.
+    /// Availability zone of the origin, if seeders there are preferred.
     origin_zone: Option<ZoneName>,
-    /// The whole announced swarm, without this instance.
+    /// The announced swarm without this instance.
     swarm: Vec<PlannerPeer>,
-    neighbours: IndexMap<InstanceName, PeerRow>,
-    /// Instances that are passed over in rank until the given time.
+    neighbours: IndexMap<InstanceName, PeerState>,
+    /// Instances that the ranking skips until the given time.
     stalled: IndexMap<InstanceName, Duration>,
-    upstream_active: usize,
-    upstream_until: Duration,
-    /// When this instance last fetched a chunk of its own part from the origin, or found the origin
-    /// gone.
-    own_fetch_at: Duration,
-    /// Chunks of its own part that this instance fetched, and when it began.
-    own_fetches: u32,
-    began_at: Duration,
+    active_upstream_fetches: usize,
+    upstream_backoff_until: Duration,
+    /// When this instance last fetched an assigned chunk from the origin, or failed to reach the
+    /// origin. A chunk is assigned to the seeder that ranks first for it.
+    assigned_fetch_at: Duration,
+    /// Assigned chunks that this instance has fetched from the origin.
+    assigned_fetches: u32,
+    started_at: Duration,
     last_progress: Duration,
-    /// When this instance or a neighbour last found the origin gone.
-    origin_lost_at: Option<Duration>,
+    /// When this instance or a neighbour last failed to reach the origin.
+    origin_unreachable_at: Option<Duration>,
     bad_chunks: u64,
     cross_zone_chunks: u64,
 }
 
 impl SwarmPlanner {
-    /// A planner for a version of which `have` is already on disk.
+    /// A planner for a version of which the chunks in `have` are already on disk.
     pub fn new(own: PlannerPeer, policy: PlannerPolicy, have: ChunkSet, now: Duration) -> Self {
-        let mut chunks = vec![ChunkRow::default(); have.len() as usize];
+        let mut chunks = vec![ChunkState::default(); have.len() as usize];
         for chunk in have.iter() {
             chunks[chunk as usize].present = true;
         }
@@ -191,93 +192,93 @@
             swarm: Vec::new(),
             neighbours: IndexMap::new(),
             stalled: IndexMap::new(),
-            upstream_active: 0,
-            upstream_until: Duration::ZERO,
-            own_fetch_at: now,
-            own_fetches: 0,
-            began_at: now,
+            active_upstream_fetches: 0,
+            upstream_backoff_until: Duration::ZERO,
+            assigned_fetch_at: now,
+            assigned_fetches: 0,
+            started_at: now,
             last_progress: now,
-            origin_lost_at: None,
+            origin_unreachable_at: None,
             bad_chunks: 0,
             cross_zone_chunks: 0,
         }
     }
 
-    /// What is here.
+    /// The chunks that this instance has.
     pub fn have(&self) -> &ChunkSet {
         &self.have
     }
 
-    /// Chunks dropped because they did not match their digest.
+    /// Number of chunks dropped because they did not match their digest.
     pub fn bad_chunks(&self) -> u64 {
         self.bad_chunks
     }
 
-    /// Chunks fetched from peers in other availability zones.
+    /// Number of chunks fetched from peers in other availability zones.
     pub fn cross_zone_chunks(&self) -> u64 {
         self.cross_zone_chunks
     }
 
-    /// Names of the present neighbours.
+    /// Names of the current neighbours.
     pub fn neighbours(&self) -> impl Iterator<Item = &InstanceName> {
         self.neighbours.keys()
     }
 
     /// Whether a neighbour is in the own availability zone.
     pub fn is_same_zone(&self, name: &InstanceName) -> bool {
-        self.neighbours.get(name).is_some_and(|row| row.zone == self.own.zone)
+        self.neighbours.get(name).is_some_and(|state| state.zone == self.own.zone)
     }
 
-    /// Sets how many chunks are fetched from peers at a time, for a link that turns out wider or
-    /// narrower than expected.
+    /// Sets how many chunks are fetched from peers at a time, for a link that is faster or slower
+    /// than expected.
     pub fn set_max_peer_fetches(&mut self, fetches: usize) {
         self.policy.max_peer_fetches = fetches.max(1);
     }
 
-    /// Prefers instances in the origin's availability zone for fetching from it, so that what they
-    /// fetch crosses zones only on its way to the others.
+    /// Prefers seeders in the origin's availability zone, so that chunks cross zones only when
+    /// other instances fetch them from there.
     pub fn set_origin_zone(&mut self, zone: ZoneName) {
         self.origin_zone = Some(zone);
     }
 
-    /// Takes in the announced swarm; chooses neighbours from it. The number of neighbours is
+    /// Sets the announced swarm and chooses neighbours from it. The number of neighbours is
     /// bounded, so that an instance's work does not grow with the swarm. Two thirds come from the
-    /// own availability zone; the others keep zones connected. Which ones is decided by the same
-    /// hash at every instance but differs between instances, so no peer is everybody's neighbour.
+    /// own availability zone; the others keep zones connected. Every instance chooses by the same
+    /// hash but with its own salt, so that no peer is everybody's neighbour.
     pub fn set_swarm(&mut self, swarm: &[PlannerPeer]) {
         self.swarm = swarm.iter().filter(|peer| peer.name != self.own.name).cloned().collect();
         let chosen = self.choose_neighbours();
-        let gone: Vec<InstanceName> =
+        let removed: Vec<InstanceName> =
             self.neighbours.keys().filter(|name| !chosen.contains(name)).cloned().collect();
-        for name in gone {
-            self.forget_neighbour(&name);
+        for name in removed {
+            self.remove_neighbour(&name);
         }
         for name in chosen {
             let Some(peer) = self.swarm.iter().find(|peer| peer.name == name) else { continue };
-            let row = PeerRow {
+            let state = PeerState {
                 zone: peer.zone.clone(),
                 have: ChunkSet::new(self.have.len()),
-                active: 0,
-                queued: Duration::ZERO,
-                good: 0,
-                bad: 0,
-                misses: 0,
-                avoid_until: Duration::ZERO,
+                active_fetches: 0,
+                queue_delay: Duration::ZERO,
+                good_chunks: 0,
+                faults: 0,
+                unreachable_count: 0,
+                backoff_until: Duration::ZERO,
             };
-            self.neighbours.entry(name).or_insert(row);
+            self.neighbours.entry(name).or_insert(state);
         }
     }
 
-    /// Takes in what a neighbour says it has.
+    /// Applies a neighbour's report of the chunks that it has.
     pub fn apply_have(&mut self, name: &InstanceName, have: ChunkSet, now: Duration) {
-        let Some(row) = self.neighbours.get_mut(name) else { return };
-        if have.len() != self.have.len() || have == row.have {
+        let Some(state) = self.neighbours.get_mut(name) else { return };
+        if have.len() != self.have.len() || have == state.have {
             return;
         }
-        // It gains chunks, so it does not hang.
+        // It gets new chunks, so it has not stalled.
         self.stalled.shift_remove(name);
         for chunk in 0..have.len() {
-            match (row.have.contains(chunk), have.contains(chunk)) {
+            match (state.have.contains(chunk), have.contains(chunk)) {
                 (false, true) => {
                     let chunk = &mut self.chunks[chunk as usize];
                     chunk.holders += 1;
@@ -287,40 +288,40 @@
                 _ => {}
             }
         }
-        row.have = have;
+        state.have = have;
     }
 
-    /// Takes in how long a chunk had to wait at a neighbour for its link.
-    pub fn record_queue_delay(&mut self, name: &InstanceName, queued: Duration) {
-        if let Some(row) = self.neighbours.get_mut(name) {
-            row.queued = queued;
+    /// Records how long a chunk waited for the neighbour's link.
+    pub fn record_queue_delay(&mut self, name: &InstanceName, queue_delay: Duration) {
+        if let Some(state) = self.neighbours.get_mut(name) {
+            state.queue_delay = queue_delay;
         }
     }
 
-    /// Notes that this instance or a neighbour could not reach the origin a moment ago.
+    /// Records that this instance or a neighbour has just failed to reach the origin.
     pub fn record_origin_unreachable(&mut self, now: Duration) {
-        self.origin_lost_at = Some(now);
+        self.origin_unreachable_at = Some(now);
     }
 
-    /// Bytes of some chunk arrived. A slow link that gives something is no stall.
+    /// Records that bytes of some chunk arrived: a link that is slow but delivers is no stall.
     pub fn record_progress(&mut self, now: Duration) {
         self.last_progress = now;
     }
 
-    /// A fetch was verified and written. Returns whether the chunk is new here.
+    /// Records that a fetched chunk was verified and written; returns whether it is new here.
     pub fn record_fetched(&mut self, order: &FetchOrder, now: Duration) -> bool {
         self.end_fetch(order);
         self.last_progress = now;
-        if order.source == SourceChoice::Upstream && self.is_own_part(order.chunk) {
-            self.own_fetch_at = now;
-            self.own_fetches += 1;
+        if order.source == SourceChoice::Upstream && self.is_assigned(order.chunk) {
+            self.assigned_fetch_at = now;
+            self.assigned_fetches += 1;
         }
         if let SourceChoice::Peer(name) = &order.source
-            && let Some(row) = self.neighbours.get_mut(name)
+            && let Some(state) = self.neighbours.get_mut(name)
         {
-            row.good += 1;
-            row.misses = 0;
-            if row.zone != self.own.zone {
+            state.good_chunks += 1;
+            state.unreachable_count = 0;
+            if state.zone != self.own.zone {
                 self.cross_zone_chunks += 1;
             }
         }
@@ -328,8 +329,8 @@
         self.have.insert(order.chunk)
     }
 
-    /// A fetch failed. Sources that give wrong bytes, claim what they lack, or cannot be reached
-    /// are avoided for a while that grows with their record.
+    /// Records that a fetch failed. Sources that send wrong bytes, report chunks that they lack, or
+    /// cannot be reached are avoided for a backoff that grows with their failures.
     pub fn record_failed(&mut self, order: &FetchOrder, failure: FetchFailure, now: Duration) {
         self.end_fetch(order);
         if failure == FetchFailure::Corrupt {
@@ -337,9 +338,9 @@
         }
         match &order.source {
             SourceChoice::Upstream => {
-                self.upstream_until = now + upstream_pause(failure);
+                self.upstream_backoff_until = now + upstream_backoff(failure);
                 if failure == FetchFailure::Unreachable {
-                    self.own_fetch_at = now;
+                    self.assigned_fetch_at = now;
                     self.record_origin_unreachable(now);
                 }
             }
@@ -357,66 +358,73 @@
         failure: FetchFailure,
         now: Duration,
     ) {
-        let Some(row) = self.neighbours.get_mut(name) else { return };
-        let pause = match failure {
-            FetchFailure::Busy(pause) => pause,
+        let Some(state) = self.neighbours.get_mut(name) else { return };
+        let backoff = match failure {
+            FetchFailure::Busy(backoff) => backoff,
             FetchFailure::Unreachable => {
-                row.misses += 1;
-                UNREACHABLE_PAUSE * 2_u32.pow(row.misses.min(MOST_DOUBLINGS) - 1)
+                state.unreachable_count += 1;
+                UNREACHABLE_BACKOFF
+                    * 2_u32.pow(state.unreachable_count.min(MAX_BACKOFF_DOUBLINGS) - 1)
             }
             FetchFailure::Corrupt | FetchFailure::Absent => {
-                row.bad += 1;
-                // A link that damages one chunk in a hundred is used on; a peer that is wrong
-                // more often than every fifth time is not worth its bytes.
-                if row.bad >= 3 && row.bad * 4 > row.good { BAD_PEER_PAUSE } else { SLIP_PAUSE }
+                state.faults += 1;
+                // A link that corrupts one chunk in a hundred stays in use; a peer that fails more
+                // often than one time in five is not worth its bytes.
+                if state.faults >= 3 && state.faults * 4 > state.good_chunks {
+                    BAD_PEER_BACKOFF
+                } else {
+                    SINGLE_FAULT_BACKOFF
+                }
             }
         };
-        row.avoid_until = row.avoid_until.max(now + pause);
-        if failure == FetchFailure::Absent && row.have.remove(chunk) {
+        state.backoff_until = state.backoff_until.max(now + backoff);
+        if failure == FetchFailure::Absent && state.have.remove(chunk) {
             self.chunks[chunk as usize].holders -= 1;
         }
     }
 
     fn end_fetch(&mut self, order: &FetchOrder) {
-        let active = &mut self.chunks[order.chunk as usize].active;
-        if let Some(at) = active.iter().position(|fetch| fetch.source == order.source) {
-            active.swap_remove(at);
+        let active_fetches = &mut self.chunks[order.chunk as usize].active_fetches;
+        if let Some(at) = active_fetches.iter().position(|fetch| fetch.source == order.source) {
+            active_fetches.swap_remove(at);
         }
         match &order.source {
-            SourceChoice::Upstream => self.upstream_active = self.upstream_active.saturating_sub(1),
+            SourceChoice::Upstream => {
+                self.active_upstream_fetches = self.active_upstream_fetches.saturating_sub(1)
+            }
             SourceChoice::Peer(name) => {
-                if let Some(row) = self.neighbours.get_mut(name) {
-                    row.active = row.active.saturating_sub(1);
+                if let Some(state) = self.neighbours.get_mut(name) {
+                    state.active_fetches = state.active_fetches.saturating_sub(1);
                 }
             }
         }
     }
 
-    fn forget_neighbour(&mut self, name: &InstanceName) {
-        let Some(row) = self.neighbours.shift_remove(name) else { return };
-        for chunk in row.have.iter() {
+    fn remove_neighbour(&mut self, name: &InstanceName) {
+        let Some(state) = self.neighbours.shift_remove(name) else { return };
+        for chunk in state.have.iter() {
             self.chunks[chunk as usize].holders -= 1;
         }
     }
 }
 
-/// First pause after a source could not be reached or made no progress; doubles each time.
-const UNREACHABLE_PAUSE: Duration = Duration::from_secs(1);
-/// How often that pause doubles at most.
-const MOST_DOUBLINGS: u32 = 6;
-/// Pause after the origin could not be reached. Short: a service may wait for its last chunks, and
-/// few instances ask.
-const UPSTREAM_PAUSE: Duration = Duration::from_millis(200);
-/// Pause after a single wrong chunk or claim.
-const SLIP_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after too many of them.
-const BAD_PEER_PAUSE: Duration = Duration::from_secs(30);
-
-fn upstream_pause(failure: FetchFailure) -> Duration {
+/// First backoff after a peer could not be reached or made no progress; doubles each time.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(1);
+/// Most times that [`UNREACHABLE_BACKOFF`] doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+/// Backoff after the origin could not be reached. It is short, since a service may wait for its
+/// last chunks and only few instances fetch from the origin.
+const UPSTREAM_BACKOFF: Duration = Duration::from_millis(200);
+/// Backoff after a single corrupt chunk or wrong report.
+const SINGLE_FAULT_BACKOFF: Duration = Duration::from_millis(50);
+/// Backoff of a peer with too many of them.
+const BAD_PEER_BACKOFF: Duration = Duration::from_secs(30);
+
+fn upstream_backoff(failure: FetchFailure) -> Duration {
     match failure {
-        FetchFailure::Busy(pause) => pause,
-        FetchFailure::Unreachable => UPSTREAM_PAUSE,
-        FetchFailure::Corrupt => SLIP_PAUSE,
+        FetchFailure::Busy(backoff) => backoff,
+        FetchFailure::Unreachable => UPSTREAM_BACKOFF,
+        FetchFailure::Corrupt => SINGLE_FAULT_BACKOFF,
         FetchFailure::Absent => Duration::from_secs(2),
     }
 }
