--- a/crates/swarm/src/planner/choose.rs
+++ b/crates/swarm/src/planner/choose.rs
@@ -205,7 +205,12 @@
             let first = ahead.into_iter().max_by_key(|peer| score(&peer.name, chunk));
             let Some(first) = first.cloned() else { return };
             if !is_seeder || score(&first.name, chunk) > score(&self.own.name, chunk) {
-                tracing::info!(own = %self.own.name, over = %first.name, chunk, "skipping stalled seeder");
+                tracing::info!(
+                    own = %self.own.name,
+                    over = %first.name,
+                    chunk,
+                    "skipping stalled seeder"
+                );
                 self.stalled.insert(first.name.clone(), now + SKIP_STALLED_FOR);
                 // With a limited number of seeders, one at a time is enough: if the origin hung and
                 // not the seeder, the lists of the instances stay alike.
--- a/tests/all/narrow_links.rs
+++ b/tests/all/narrow_links.rs
@@ -1,4 +1,4 @@
-//! What an instance makes of its own link when it narrows.
+//! How an agent detects that its own link is slow, and how requests avoid such links.
 
 use crate::serving_tables::{choose, id, link_news, table};
 use egretseam_serving::Choice;
@@ -6,69 +6,69 @@
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
 
-/// Time between two looks at the link.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between two checks of the link.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Chunks that come one behind the other over a link, so many of them under way at any time.
-struct ChunkLine {
-    link: LinkMonitor,
+/// A link that transfers chunks one after the other, with a constant number of them in flight.
+struct SerialLink {
+    monitor: LinkMonitor,
     now: Instant,
-    came_at: Instant,
-    asked_at: VecDeque<Instant>,
+    arrived_at: Instant,
+    sent_at: VecDeque<Instant>,
 }
 
-impl ChunkLine {
-    fn new(expected: Duration, under_way: usize) -> Self {
+impl SerialLink {
+    fn new(expected: Duration, in_flight: usize) -> Self {
         let now = Instant::now();
-        let asked_at = std::iter::repeat_n(now, under_way).collect();
-        Self { link: LinkMonitor::new(expected), now, came_at: now, asked_at }
+        let sent_at = std::iter::repeat_n(now, in_flight).collect();
+        Self { monitor: LinkMonitor::new(expected), now, arrived_at: now, sent_at }
     }
 
-    /// Plays a chunk that spends `each` on the link; returns what each look at the link finds meanwhile.
+    /// Transfers one chunk in `each`; returns the monitor's delay at each check meanwhile.
     fn next(&mut self, each: Duration) -> Vec<Option<Duration>> {
-        let mut known = Vec::new();
-        let arrives_at = self.came_at + each;
-        while self.now + LOOK_INTERVAL < arrives_at {
-            self.now += LOOK_INTERVAL;
-            let quiet = self.now - self.came_at;
-            self.link.record_no_arrival(quiet, self.asked_at.len(), self.now);
-            known.push(self.link.delay(self.now));
+        let mut delays = Vec::new();
+        let arrives_at = self.arrived_at + each;
+        while self.now + CHECK_INTERVAL < arrives_at {
+            self.now += CHECK_INTERVAL;
+            let gap = self.now - self.arrived_at;
+            self.monitor.record_no_arrival(gap, self.sent_at.len(), self.now);
+            delays.push(self.monitor.delay(self.now));
         }
-        (self.now, self.came_at) = (arrives_at, arrives_at);
-        let asked_at = self.asked_at.pop_front().expect("one is under way");
-        self.link.record(arrives_at - asked_at, self.asked_at.len(), arrives_at);
-        self.asked_at.push_back(arrives_at);
-        known.push(self.link.delay(self.now));
-        known
+        (self.now, self.arrived_at) = (arrives_at, arrives_at);
+        let sent_at = self.sent_at.pop_front().expect("a chunk is in flight");
+        self.monitor.record(arrives_at - sent_at, self.sent_at.len(), arrives_at);
+        self.sent_at.push_back(arrives_at);
+        delays.push(self.monitor.delay(self.now));
+        delays
     }
 }
 
-/// Guards against a narrowed link that is taken for a usual one whenever a chunk has come over it: requests
-/// are sent over it that arrive when their callers have left.
+/// Guards against a slow link that counts as usual whenever a chunk has arrived over it: requests
+/// are sent over it and arrive after their callers have left.
 #[test]
-fn a_link_stays_known_as_narrow_while_chunks_come_slowly() {
-    let mut line = ChunkLine::new(millis(42), 6);
+fn a_link_counts_as_slow_for_as_long_as_chunks_arrive_slowly() {
+    let mut link = SerialLink::new(millis(42), 6);
     for _ in 0..12 {
-        assert!(line.next(millis(42)).iter().all(Option::is_none), "a usual link");
+        assert!(link.next(millis(42)).iter().all(Option::is_none), "a usual link");
     }
-    let narrow: Vec<_> = (0..8).flat_map(|_| line.next(millis(800))).collect();
-    let known_from = narrow.iter().position(Option::is_some).expect("it is found out");
-    assert!(narrow[known_from..].iter().all(Option::is_some), "{narrow:?}");
-    // What was asked for before waits behind slow chunks.
+    let slow: Vec<_> = (0..8).flat_map(|_| link.next(millis(800))).collect();
+    let detected_from = slow.iter().position(Option::is_some).expect("the slow link is detected");
+    assert!(slow[detected_from..].iter().all(Option::is_some), "{slow:?}");
+    // The first chunks after that were requested while the link was slow.
     for _ in 0..12 {
-        line.next(millis(42));
+        link.next(millis(42));
     }
-    assert_eq!(line.link.delay(line.now), None);
+    assert_eq!(link.monitor.delay(link.now), None);
 }
 
-/// Guards against requests that arrive when their callers have left: a first attempt goes over a link that is
-/// known to be narrow although others are left.
+/// Guards against requests that arrive after their callers have left: a first attempt is sent over
+/// a link that is known to be slow although targets behind usual links are left.
 #[actix_rt::test]
-async fn nothing_new_goes_over_a_narrow_link_while_another_is_left() {
+async fn first_attempts_avoid_targets_behind_slow_links() {
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for host in [1, 2] {
@@ -80,13 +80,17 @@
     for _ in 0..4 {
         table.begin(&id(3), now);
     }
-    assert_eq!(choose(&table, &[], now), Choice::Full, "a place is waited for");
+    assert_eq!(
+        choose(&table, &[], now),
+        Choice::Full,
+        "waits for a slot at the target behind the usual link"
+    );
     let retried = choose(&table, &[id(3)], now);
-    assert!(matches!(retried, Choice::Target(_)), "nothing better is left to it");
+    assert!(matches!(retried, Choice::Target(_)), "only slow links are left for the retry");
     table.note_engine(&link_news(3, 1_000), now);
-    assert!(matches!(choose(&table, &[], now), Choice::Target(_)), "there is nothing better");
+    assert!(matches!(choose(&table, &[], now), Choice::Target(_)), "all links are slow");
     table.note_engine(&link_news(1, 0), now);
     for _ in 0..50 {
-        assert_eq!(choose(&table, &[], now), Choice::Target(id(1)), "it has widened");
+        assert_eq!(choose(&table, &[], now), Choice::Target(id(1)), "its link is no longer slow");
     }
 }
--- a/tests/all/path_probe.rs
+++ b/tests/all/path_probe.rs
@@ -1,4 +1,4 @@
-//! Telling from questions to other instances how long anything is on its way over the own link.
+//! Detecting a slow link from the round-trip times of probes to other instances.
 
 use egretseam_proto::InstanceName;
 use egretseam_swarm::PathProbe;
@@ -14,54 +14,55 @@
     (0..count).map(name).collect()
 }
 
-fn probe_of(peers: &[InstanceName]) -> PathProbe {
+fn new_probe(peers: &[InstanceName]) -> PathProbe {
     let mut probe = PathProbe::default();
     probe.set_peers(peers);
     probe
 }
 
-/// Asks everybody at `now`; answers take as long as is said.
-fn ask(probe: &mut PathProbe, peers: &[InstanceName], took: &[u64], now: Instant) {
-    for (peer, took) in peers.iter().zip(took) {
+/// Probes all peers at `now`; their replies take the given numbers of milliseconds.
+fn probe_all(probe: &mut PathProbe, peers: &[InstanceName], round_trips: &[u64], now: Instant) {
+    for (peer, round_trip) in peers.iter().zip(round_trips) {
         probe.record_probe_sent(peer, now);
-        probe.record_reply(peer, now + millis(*took));
+        probe.record_reply(peer, now + millis(*round_trip));
     }
 }
 
-/// Guards against targets that get nothing since another instance is slow, has gone, or says nothing yet.
+/// Guards against targets that get no requests because another instance is slow, is unreachable, or
+/// has not replied yet.
 #[actix_rt::test]
-async fn the_own_link_is_told_from_others() {
+async fn a_link_is_slow_only_if_all_of_several_peers_reply_slowly() {
     let (names, now) = (peers(3), Instant::now());
-    let mut probe = probe_of(&names);
+    let mut probe = new_probe(&names);
     for peer in &names {
         probe.record_probe_sent(peer, now);
     }
-    assert_eq!(probe.delay(now + millis(3_000)), None, "nobody has ever answered");
-    ask(&mut probe, &names, &[1_500, 20, 1_500], now);
-    // Who answers at once is asked again and again.
-    ask(&mut probe, &names[1..2], &[20], now + millis(1_300));
-    assert_eq!(probe.delay(now + millis(1_500)), None, "one answers at once");
-    ask(&mut probe, &names, &[1_500, 1_200, 900], now);
+    assert_eq!(probe.delay(now + millis(3_000)), None, "no peer has ever replied");
+    probe_all(&mut probe, &names, &[1_500, 20, 1_500], now);
+    // A peer that replies at once is probed more often.
+    probe_all(&mut probe, &names[1..2], &[20], now + millis(1_300));
+    assert_eq!(probe.delay(now + millis(1_500)), None, "one peer replies at once");
+    probe_all(&mut probe, &names, &[1_500, 1_200, 900], now);
     assert_eq!(probe.delay(now + millis(1_500)), Some(millis(900)));
-    assert_eq!(probe.delay(now + millis(4_000)), None, "answers count for a second");
-    ask(&mut probe, &names, &[1_500, 1_200, 900], now);
+    assert_eq!(probe.delay(now + millis(4_000)), None, "replies count for one second");
+    probe_all(&mut probe, &names, &[1_500, 1_200, 900], now);
     probe.record_unreachable(&names[0]);
     probe.record_unreachable(&names[1]);
-    assert_eq!(probe.delay(now + millis(1_500)), None, "one instance says nothing of the link");
+    assert_eq!(probe.delay(now + millis(1_500)), None, "a single peer says nothing about the link");
 }
 
-/// Guards against a narrowed link that is known only when answers have come over it.
+/// Guards against a slow link that is detected only after replies have arrived over it.
 #[actix_rt::test]
-async fn answers_that_are_awaited_count() {
+async fn outstanding_probes_count() {
     let (names, now) = (peers(3), Instant::now());
-    let mut probe = probe_of(&names);
-    ask(&mut probe, &names, &[5, 5, 5], now);
-    let asked_at = now + millis(100);
+    let mut probe = new_probe(&names);
+    probe_all(&mut probe, &names, &[5, 5, 5], now);
+    let sent_at = now + millis(100);
     for peer in &names {
-        probe.record_probe_sent(peer, asked_at);
+        probe.record_probe_sent(peer, sent_at);
     }
-    assert_eq!(probe.delay(asked_at + millis(400)), None);
-    assert_eq!(probe.delay(asked_at + millis(1_000)), Some(millis(1_000)));
-    probe.record_process_pause(asked_at + millis(1_000));
-    assert_eq!(probe.delay(asked_at + millis(1_000)), None, "the process was frozen");
+    assert_eq!(probe.delay(sent_at + millis(400)), None);
+    assert_eq!(probe.delay(sent_at + millis(1_000)), Some(millis(1_000)));
+    probe.record_process_pause(sent_at + millis(1_000));
+    assert_eq!(probe.delay(sent_at + millis(1_000)), None, "the process was frozen");
 }
--- a/tests/all/transfer_window.rs
+++ b/tests/all/transfer_window.rs
@@ -1,36 +1,38 @@
-//! How much of the weights is on its way over a link.
+//! How the window limits the parts of weights in flight over a link.
 
 use egretseam_swarm::{MAX_SAME_ZONE_PARTS, PART_BYTES, TransferWindow};
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
 
-/// How often an agent looks at its windows.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest that a request may wait before a narrowed link: most callers that leave stay as long.
-const MOST_WAIT: Duration = Duration::from_millis(500);
+/// How often an agent checks its windows.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest that a request may queue for a link that has slowed down: most callers that leave wait
+/// at least as long.
+const MAX_WAIT: Duration = Duration::from_millis(500);
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A link that carries parts one behind the other, filled as far as a window allows.
-struct PartLine {
+/// A link that transfers parts one after the other, filled as far as a window allows.
+struct SerialLink {
     window: TransferWindow,
     now: Instant,
-    looked_at: Instant,
-    /// Number of each part on its way and when it was asked for.
+    checked_at: Instant,
+    /// Id of each part in flight and when it was requested.
     parts: VecDeque<(u64, Instant)>,
 }
 
-impl PartLine {
+impl SerialLink {
     fn new() -> Self {
         let now = Instant::now();
         let window = TransferWindow::new(MAX_SAME_ZONE_PARTS);
-        Self { window, now, looked_at: now, parts: VecDeque::new() }
+        Self { window, now, checked_at: now, parts: VecDeque::new() }
     }
 
-    /// Plays so much time in which a part takes `each`; returns the longest queue meanwhile, in time.
-    fn play(&mut self, time: Duration, each: Duration) -> Duration {
+    /// Runs for `time` while a part takes `each`; returns the longest queue, as the time to drain
+    /// it.
+    fn run(&mut self, time: Duration, each: Duration) -> Duration {
         let until = self.now + time;
         let mut longest = Duration::ZERO;
         while self.now < until {
@@ -39,61 +41,64 @@
             }
             longest = longest.max(each * self.parts.len() as u32);
             self.advance(each);
-            let (id, asked_at) = self.parts.pop_front().expect("one is on its way");
-            self.window.end(id, self.now - asked_at, self.now);
+            let (id, requested_at) = self.parts.pop_front().expect("a part is in flight");
+            self.window.end(id, self.now - requested_at, self.now);
         }
         longest
     }
 
     fn advance(&mut self, time: Duration) {
         let until = self.now + time;
-        while self.looked_at + LOOK_INTERVAL <= until {
-            self.looked_at += LOOK_INTERVAL;
-            self.window.check_late(self.looked_at);
+        while self.checked_at + CHECK_INTERVAL <= until {
+            self.checked_at += CHECK_INTERVAL;
+            self.window.check_late(self.checked_at);
         }
         self.now = until;
     }
 }
 
-fn time_of_part(bytes_per_second: u64) -> Duration {
+fn part_time(bytes_per_second: u64) -> Duration {
     Duration::from_secs_f64(PART_BYTES as f64 / bytes_per_second as f64)
 }
 
-/// Guards against weights that queue before live requests on a link that has narrowed.
+/// Guards against weights that queue ahead of live requests on a link that has slowed down.
 #[test]
-fn a_narrowed_link_holds_little_at_once_and_less_soon() {
-    let (usual, narrow) = (time_of_part(1_175_000), time_of_part(75_000));
-    let mut line = PartLine::new();
-    line.play(millis(500), usual);
-    assert_eq!(line.window.size(), MAX_SAME_ZONE_PARTS, "a usual link is kept busy");
-    assert!(line.play(millis(600), narrow) <= MOST_WAIT, "what was on its way when it narrowed");
-    let later = line.play(millis(3_000), narrow);
-    assert!(later <= narrow * 3, "{later:?} at a time while it is narrow");
-    line.play(millis(500), usual);
-    assert_eq!(line.window.size(), MAX_SAME_ZONE_PARTS, "it has widened");
+fn the_window_limits_the_queue_of_a_link_that_slows_down() {
+    let (usual, slow) = (part_time(1_175_000), part_time(75_000));
+    let mut link = SerialLink::new();
+    link.run(millis(500), usual);
+    assert_eq!(link.window.size(), MAX_SAME_ZONE_PARTS, "the window is fully open on a usual link");
+    assert!(
+        link.run(millis(600), slow) <= MAX_WAIT,
+        "what was in flight when the link slowed down"
+    );
+    let later = link.run(millis(3_000), slow);
+    assert!(later <= slow * 3, "queue of {later:?} while the link is slow");
+    link.run(millis(500), usual);
+    assert_eq!(link.window.size(), MAX_SAME_ZONE_PARTS, "the link is back to its usual rate");
 }
 
-/// Guards against fetches that all wait for instances behind narrow links while others could give.
+/// Guards against fetches that all wait for instances behind slow links while others could send.
 #[test]
-fn parts_that_are_held_up_elsewhere_leave_room_for_others() {
+fn overtaken_parts_do_not_count_towards_the_window() {
     let now = Instant::now();
     let mut window = TransferWindow::new(MAX_SAME_ZONE_PARTS);
-    let held_up = window.begin(now);
+    let delayed = window.begin(now);
     for _ in 0..20 {
-        let part = window.begin(now);
-        window.end(part, millis(10), now);
+        let prompt = window.begin(now);
+        window.end(prompt, millis(10), now);
     }
     assert_eq!((window.in_flight(), window.overtaken()), (0, 1));
     let later = now + millis(2_000);
     window.check_late(later);
-    assert_eq!(window.size(), MAX_SAME_ZONE_PARTS, "it says nothing of the own link");
-    assert!(!window.end(held_up, millis(2_000), later));
+    assert_eq!(window.size(), MAX_SAME_ZONE_PARTS, "it says nothing about the own link");
+    assert!(!window.end(delayed, millis(2_000), later));
     assert_eq!(window.size(), MAX_SAME_ZONE_PARTS);
 }
 
-/// Guards against a window that stays shut after an instance has gone with what it was given.
+/// Guards against a window that stays full after an instance was lost with the parts sent to it.
 #[test]
-fn parts_without_an_end_are_given_up() {
+fn parts_that_never_end_expire() {
     let now = Instant::now();
     let mut window = TransferWindow::new(1);
     window.begin(now);
