--- a/tests/all/scenarios/swarm_script.rs
+++ b/tests/all/scenarios/swarm_script.rs
@@ -1,4 +1,4 @@
-//! Commands over one instance's planner.
+//! Script commands for the planner of one instance.
 
 use super::{number, text};
 use egretseam_proto::{InstanceName, ZoneName};
@@ -10,18 +10,20 @@
 
 type Output = Result<String, Box<dyn Error>>;
 
-/// A planner, its open orders, and the time.
+/// A planner, its unfinished fetches and the current time.
 #[derive(Default)]
 pub(super) struct SwarmScript {
     planner: Option<SwarmPlanner>,
-    open: Vec<FetchOrder>,
+    unfinished: Vec<FetchOrder>,
     now: Duration,
     chunks: u32,
 }
 
 impl SwarmScript {
     fn planner(&mut self) -> Result<&mut SwarmPlanner, Box<dyn Error>> {
-        self.planner.as_mut().ok_or_else(|| "no planner yet".into())
+        self.planner
+            .as_mut()
+            .ok_or_else(|| "the script has no `planner` command before this one".into())
     }
 
     fn plan(&mut self) -> Output {
@@ -34,16 +36,17 @@
         if orders.is_empty() {
             output.push_str("nothing\n");
         }
-        self.open.extend(orders);
+        self.unfinished.extend(orders);
         Ok(output)
     }
 
-    /// Ends every open order from the named source.
+    /// Ends all unfinished fetches from the given source.
     fn end(&mut self, command: &Command, failure: Option<FetchFailure>) -> Output {
         let from = text(command, "from")?;
-        let (ended, open): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.open).into_iter().partition(|order| source(order) == from);
-        self.open = open;
+        let (ended, unfinished): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unfinished)
+            .into_iter()
+            .partition(|order| source(order) == from);
+        self.unfinished = unfinished;
         let now = self.now;
         for order in &ended {
             match failure {
@@ -81,7 +84,9 @@
                 let peers: Result<Vec<_>, _> = text(command, "peers")?
                     .split(',')
                     .map(|item| {
-                        let (name, zone) = item.split_once('@').ok_or("expected NAME@ZONE")?;
+                        let (name, zone) = item
+                            .split_once('@')
+                            .ok_or("peer without a zone; expected NAME@ZONE")?;
                         peer(name, zone)
                     })
                     .collect();
@@ -102,7 +107,7 @@
             "corrupt" => return self.end(command, Some(FetchFailure::Corrupt)),
             "absent" => return self.end(command, Some(FetchFailure::Absent)),
             "unreachable" => return self.end(command, Some(FetchFailure::Unreachable)),
-            other => return Err(format!("no command {other}").into()),
+            other => return Err(format!("unknown command {other}").into()),
         }
         Ok(String::new())
     }
--- a/tests/all/seeders.rs
+++ b/tests/all/seeders.rs
@@ -1,4 +1,4 @@
-//! Who draws a version from the origin.
+//! Which instances fetch a version from the origin.
 
 use egretseam_proto::{InstanceName, ZoneName};
 use egretseam_swarm::{
@@ -24,7 +24,7 @@
     planners_with(count, 0)
 }
 
-/// Planners of so many instances that all have the first `held` chunks.
+/// Planners of `count` instances that all have the first `held` chunks.
 fn planners_with(count: usize, held: u32) -> Vec<SwarmPlanner> {
     let swarm: Vec<PlannerPeer> = (0..count).map(peer).collect();
     let policy = PlannerPolicy { max_seeders: SEEDERS, ..PlannerPolicy::default() };
@@ -41,104 +41,113 @@
     swarm.iter().map(planner).collect()
 }
 
-/// Every order for the origin until nobody has any left, by who gave it.
-fn draw_all(
+/// Carries out all fetches from the origin until no planner plans another; returns the number of
+/// the planner and the chunk of each.
+fn fetch_all_from_origin(
     planners: &mut [SwarmPlanner],
     skip: Option<usize>,
     now: Duration,
 ) -> Vec<(usize, u32)> {
-    let mut drawn = Vec::new();
+    let mut fetched = Vec::new();
     loop {
-        let before = drawn.len();
+        let before = fetched.len();
         for (number, planner) in planners.iter_mut().enumerate() {
             if Some(number) == skip {
                 continue;
             }
             for order in planner.plan(now) {
                 if order.source == SourceChoice::Upstream {
-                    drawn.push((number, order.chunk));
+                    fetched.push((number, order.chunk));
                     planner.record_fetched(&order, now);
                 }
             }
         }
-        if drawn.len() == before {
-            return drawn;
+        if fetched.len() == before {
+            return fetched;
         }
     }
 }
 
 #[test]
-fn a_few_instances_of_the_origins_zone_draw_each_chunk_once() {
+fn a_few_seeders_in_the_origins_zone_fetch_each_chunk_once() {
     let mut planners = planners(30);
-    let drawn = draw_all(&mut planners, None, Duration::ZERO);
-    let mut chunks: Vec<u32> = drawn.iter().map(|(_, chunk)| *chunk).collect();
+    let fetched = fetch_all_from_origin(&mut planners, None, Duration::ZERO);
+    let mut chunks: Vec<u32> = fetched.iter().map(|(_, chunk)| *chunk).collect();
     chunks.sort_unstable();
     assert_eq!(chunks, (0..CHUNKS).collect::<Vec<u32>>());
-    let mut seeders: Vec<usize> = drawn.iter().map(|(number, _)| *number).collect();
+    let mut seeders: Vec<usize> = fetched.iter().map(|(number, _)| *number).collect();
     seeders.sort_unstable();
     seeders.dedup();
     assert_eq!(seeders.len(), SEEDERS);
     assert!(seeders.iter().all(|number| number % 3 == 1), "{seeders:?} are in the origin's zone");
 }
 
-/// What operators would see: a version that stops short of the whole. A seeder hangs; the others
-/// that starve must come to the same next one, and not all draw.
+/// Guards against a version that never becomes complete: a seeder hangs. The other instances, which
+/// starve, must agree on the next seeder instead of all fetching from the origin.
 #[test]
-fn another_draws_when_a_seeder_hangs() {
+fn another_seeder_takes_over_when_one_hangs() {
     let mut planners = planners(12);
-    let first = draw_all(&mut planners, None, Duration::ZERO);
+    let first = fetch_all_from_origin(&mut planners, None, Duration::ZERO);
     let hanging = first[0].0;
     let mut planners = self::planners(12);
-    let drawn = draw_all(&mut planners, Some(hanging), Duration::ZERO);
-    assert!(drawn.len() < CHUNKS as usize);
-    let mut all = drawn;
+    let fetched = fetch_all_from_origin(&mut planners, Some(hanging), Duration::ZERO);
+    assert!(fetched.len() < CHUNKS as usize);
+    let mut all = fetched;
     for step in 1..120 {
         let now = Duration::from_millis(step * 250);
         exchange(&mut planners, hanging, now);
-        all.extend(draw_all(&mut planners, Some(hanging), now + Duration::from_millis(20)));
+        all.extend(fetch_all_from_origin(
+            &mut planners,
+            Some(hanging),
+            now + Duration::from_millis(20),
+        ));
     }
     let mut chunks: Vec<u32> = all.iter().map(|(_, chunk)| *chunk).collect();
     chunks.sort_unstable();
     let total = chunks.len();
     chunks.dedup();
     assert_eq!(chunks.len(), CHUNKS as usize);
-    assert!(total <= CHUNKS as usize * 2, "{total} chunks were drawn");
+    assert!(total <= CHUNKS as usize * 2, "{total} chunks were fetched from the origin");
 }
 
-/// What users would see: no service for seconds, since new weights are late. A seeder's link is
-/// narrow: it draws its part at a tenth of the usual pace and never hangs. The others are done with
-/// theirs and must draw what is overdue, from the end at which the slow one is last.
+/// Guards against seconds without service because new weights are late: a seeder's link is slow, so
+/// that it fetches its assigned chunks at a tenth of the usual rate but never hangs. The seeders
+/// that are done with theirs must fetch the overdue ones, starting with those that it would fetch
+/// last.
 #[test]
-fn the_part_of_a_slow_seeder_is_drawn_by_others() {
+fn overdue_chunks_of_a_slow_seeder_are_fetched_by_others() {
     let mut planners = planners(12);
-    let slow = draw_all(&mut planners, None, Duration::ZERO)[0].0;
+    let slow = fetch_all_from_origin(&mut planners, None, Duration::ZERO)[0].0;
     let mut planners = self::planners(12);
-    let mut drawn: Vec<u32> = Vec::new();
+    let mut fetched: Vec<u32> = Vec::new();
     let mut step = 0;
     while planners.iter().enumerate().any(|(at, planner)| at != slow && !planner.have().is_full()) {
         step += 1;
-        assert!(step < 40, "{} of {CHUNKS} chunks after {step} rounds", drawn.len());
+        assert!(step < 40, "{} of {CHUNKS} chunks after {step} rounds", fetched.len());
         let now = Duration::from_millis(step * 100);
         for (number, planner) in planners.iter_mut().enumerate() {
             for order in planner.plan(now) {
                 if !is_upstream(&order) {
                     planner.record_failed(&order, FetchFailure::Busy(Duration::ZERO), now);
                 } else if number != slow || step % 10 == 0 {
-                    drawn.push(order.chunk);
+                    fetched.push(order.chunk);
                     planner.record_fetched(&order, now);
                 } else {
-                    // Still under way; asked for anew in the next round.
+                    // Still in flight; planned again in the next round.
                     planner.record_failed(&order, FetchFailure::Busy(Duration::ZERO), now);
                 }
             }
         }
         exchange(&mut planners, slow, now);
     }
-    let doubled = drawn.len() - CHUNKS as usize;
-    assert!(doubled <= CHUNKS as usize / 8, "{doubled} chunks were drawn twice");
+    let duplicates = fetched.len() - CHUNKS as usize;
+    assert!(
+        duplicates <= CHUNKS as usize / 8,
+        "{duplicates} chunks were fetched from the origin twice"
+    );
 }
 
-/// Everybody but the hanging one tells what it has and fetches what the others have.
+/// Every planner except the hanging one learns what all others have and fetches it from them.
 fn exchange(planners: &mut [SwarmPlanner], hanging: usize, now: Duration) {
     let haves: Vec<ChunkSet> = planners.iter().map(|planner| planner.have().clone()).collect();
     for (number, planner) in planners.iter_mut().enumerate() {
@@ -155,7 +164,7 @@
             for order in &from_peers {
                 planner.record_fetched(order, now);
             }
-            // An order for the origin is not carried out here; it pauses that source.
+            // Fetches from the origin are not carried out here; the failure sets a backoff.
             for order in orders.iter().filter(|order| is_upstream(order)) {
                 planner.record_failed(order, FetchFailure::Busy(Duration::from_millis(1)), now);
             }
@@ -166,11 +175,11 @@
     }
 }
 
-/// What users would see: no service for seconds after the origin is back. While nobody can reach the
-/// origin, everybody starves and passes one seeder over after the other, until each takes itself for
-/// the only one left and draws everything. Only so many may be passed over.
+/// Guards against seconds without service after the origin is back. While it is unreachable, all
+/// instances starve and skip one seeder after the other, until each takes itself for the only one
+/// left and fetches everything. So the number of skipped seeders is limited.
 #[test]
-fn few_draw_when_the_origin_comes_back() {
+fn few_seeders_fetch_when_the_origin_is_back() {
     let mut planners = planners_with(24, CHUNKS - 12);
     let mut now = Duration::ZERO;
     let fail = |planner: &mut SwarmPlanner, now: Duration| {
@@ -184,15 +193,18 @@
     }
     let mut seeders = 0;
     for planner in &mut planners {
-        let draws = |planner: &mut SwarmPlanner, at| planner.plan(at).iter().any(is_upstream);
-        seeders +=
-            usize::from((0..20).any(|step| draws(planner, now + Duration::from_millis(step * 50))));
+        let fetches_from_origin =
+            |planner: &mut SwarmPlanner, at| planner.plan(at).iter().any(is_upstream);
+        seeders += usize::from(
+            (0..20)
+                .any(|step| fetches_from_origin(planner, now + Duration::from_millis(step * 50))),
+        );
     }
-    assert!((1..=SEEDERS * 3).contains(&seeders), "{seeders} of 24 draw");
+    assert!((1..=SEEDERS * 3).contains(&seeders), "{seeders} of 24 fetch from the origin");
 }
 
 #[test]
-fn a_seeder_that_cannot_reach_the_origin_pauses() {
+fn a_seeder_that_cannot_reach_the_origin_backs_off() {
     let mut planners = planners(12);
     let order = planners.iter_mut().find_map(|planner| {
         let order = planner.plan(Duration::ZERO).into_iter().find(is_upstream)?;
@@ -207,26 +219,26 @@
     order.source == SourceChoice::Upstream
 }
 
-/// What operators would see: a version that takes twice the time it should. Some instances' links
-/// are asked for by everybody while others' stand idle; a chunk that two neighbours have is taken
-/// from the one at which the last one did not have to wait.
+/// Guards against a version that takes twice the time it should: the links of some instances are
+/// overloaded while those of others are idle. A chunk that two neighbours have is fetched from the
+/// one where the last chunk did not have to wait.
 #[test]
-fn chunks_are_taken_from_the_neighbour_whose_link_is_least_asked_for() {
+fn chunks_are_fetched_from_the_neighbour_with_the_shortest_queue() {
     for busy in [1, 4] {
         let mut planners = planners(6);
         let planner = &mut planners[0];
         let now = Duration::from_secs(2);
         for number in [1, 4] {
             planner.apply_have(&peer(number).name, all_chunks(), now);
-            let queued = if number == busy { 200 } else { 0 };
-            planner.record_queue_delay(&peer(number).name, Duration::from_millis(queued));
+            let queue_delay = if number == busy { 200 } else { 0 };
+            planner.record_queue_delay(&peer(number).name, Duration::from_millis(queue_delay));
         }
         let orders = planner.plan(now + Duration::from_secs(2));
         let first = orders.iter().find_map(|order| match &order.source {
             SourceChoice::Peer(name) => Some(name.clone()),
             SourceChoice::Upstream => None,
         });
-        assert_eq!(first, Some(peer(5 - busy).name), "{busy} is asked for by others");
+        assert_eq!(first, Some(peer(5 - busy).name), "the link of {busy} has a queue");
     }
 }
 
@@ -238,53 +250,53 @@
     have
 }
 
-/// What users would see: requests that reach a target two seconds late. Its link is squeezed to an
-/// eighth while weights spread, and what the agent gives to others at the usual pace queues up before
-/// them. All its chunks take long then, from whichever neighbour; one slow neighbour is no reason.
+/// Guards against requests that reach a target two seconds late: its link drops to an eighth of its
+/// rate while weights are distributed, and what the agent uploads at the usual rate queues ahead of
+/// them. Then all its chunks take long, from every neighbour; one slow neighbour must not count.
 #[actix_rt::test]
-async fn a_narrow_link_is_told_from_a_slow_neighbour() {
+async fn a_slow_link_is_distinguished_from_a_slow_neighbour() {
     let now = Instant::now();
     let millis = Duration::from_millis;
-    let mut link = LinkMonitor::new(millis(50));
+    let mut monitor = LinkMonitor::new(millis(50));
     for _ in 0..10 {
-        link.record(millis(280), 4, now);
+        monitor.record(millis(280), 4, now);
     }
-    assert_eq!((link.delay(now), link.rate_fraction(now)), (None, 1.0));
+    assert_eq!((monitor.delay(now), monitor.rate_fraction(now)), (None, 1.0));
     for number in 0..20 {
-        link.record(if number % 3 == 0 { millis(300) } else { millis(2_400) }, 4, now);
-        assert_eq!(link.delay(now), None, "one neighbour answers at the usual pace");
+        monitor.record(if number % 3 == 0 { millis(300) } else { millis(2_400) }, 4, now);
+        assert_eq!(monitor.delay(now), None, "one neighbour sends at the usual rate");
     }
     for _ in 0..4 {
-        link.record(millis(2_000), 4, now);
+        monitor.record(millis(2_000), 4, now);
     }
-    assert_eq!(link.delay(now), Some(millis(2_000)));
-    assert!((0.2..0.5).contains(&link.rate_fraction(now)), "{}", link.rate_fraction(now));
-    // Before any chunk has come at all: none of five for a second.
+    assert_eq!(monitor.delay(now), Some(millis(2_000)));
+    assert!((0.2..0.5).contains(&monitor.rate_fraction(now)), "{}", monitor.rate_fraction(now));
+    // Before any chunk has arrived at all: none of five in flight within a second.
     let mut fresh = LinkMonitor::new(millis(50));
     fresh.record_no_arrival(millis(300), 5, now);
     assert_eq!(fresh.delay(now), None);
     fresh.record_no_arrival(millis(1_000), 5, now);
     assert_eq!(fresh.delay(now), Some(millis(1_000)));
-    assert_eq!(fresh.delay(now + millis(9_000)), None, "it is forgotten");
-    // With one chunk at a time it is still the same link.
+    assert_eq!(fresh.delay(now + millis(9_000)), None, "the measurement is too old");
+    // One chunk at a time shows the same slow link.
     for _ in 0..4 {
-        link.record(millis(450), 0, now);
+        monitor.record(millis(450), 0, now);
     }
-    assert_eq!(link.delay(now), Some(millis(450)));
+    assert_eq!(monitor.delay(now), Some(millis(450)));
     for _ in 0..4 {
-        link.record(millis(90), 0, now);
+        monitor.record(millis(90), 0, now);
     }
-    assert_eq!((link.delay(now), link.rate_fraction(now)), (None, 1.0));
+    assert_eq!((monitor.delay(now), monitor.rate_fraction(now)), (None, 1.0));
 }
 
-/// What users would see: no service for seconds after the origin of weights is back. While it was
-/// gone everybody starved and took some seeder for hanging, each another one, so that some chunks
-/// had no seeder left. Who hears that the origin is gone passes nobody over.
+/// Guards against seconds without service after the origin is back: while it is unreachable all
+/// instances starve and skip a seeder that seems to hang, each another one, so that some chunks
+/// have no seeder left. Instances that learn that the origin is unreachable skip nobody.
 #[test]
-fn nobody_is_passed_over_while_the_origin_is_gone() {
+fn no_seeder_is_skipped_while_the_origin_is_unreachable() {
     let mut planners = planners(12);
-    let drawn = draw_all(&mut self::planners(12), None, Duration::ZERO);
-    let seeders: IndexSet<usize> = drawn.iter().map(|(number, _)| *number).collect();
+    let fetched = fetch_all_from_origin(&mut self::planners(12), None, Duration::ZERO);
+    let seeders: IndexSet<usize> = fetched.iter().map(|(number, _)| *number).collect();
     for step in 1..24 {
         let now = Duration::from_millis(step * 250);
         for planner in &mut planners {
@@ -294,10 +306,10 @@
             planner.record_origin_unreachable(now);
         }
     }
-    // It is back: the same instances draw each chunk once, at once.
-    let drawn = draw_all(&mut planners, None, Duration::from_millis(6_500));
-    let mut chunks: Vec<u32> = drawn.iter().map(|(_, chunk)| *chunk).collect();
+    // The origin is back: the same seeders fetch each chunk once, at once.
+    let fetched = fetch_all_from_origin(&mut planners, None, Duration::from_millis(6_500));
+    let mut chunks: Vec<u32> = fetched.iter().map(|(_, chunk)| *chunk).collect();
     chunks.sort_unstable();
     assert_eq!(chunks, (0..CHUNKS).collect::<Vec<u32>>());
-    assert!(drawn.iter().all(|(number, _)| seeders.contains(number)));
+    assert!(fetched.iter().all(|(number, _)| seeders.contains(number)));
 }
--- a/tests/all/versions.rs
+++ b/tests/all/versions.rs
@@ -1,4 +1,4 @@
-//! Which weights requests may begin on, and when engines take new ones.
+//! Which weights requests may begin on, and when engines load new ones.
 
 use crate::serving_tables::{address, choose, held, id, model, news, record, service, table};
 use egretseam_serving::{
@@ -11,11 +11,12 @@
 
 const VERSION_LIMIT: Duration = Duration::from_secs(7);
 
-/// What users would see: an answer from weights that operators replaced long ago. From the bound on
-/// a target that is not known to hold the named version gets nothing, and a version that is named
-/// before the last one is in place does not put the first one's bound off.
+/// Guards against responses from weights that operators replaced long ago. From the staleness bound
+/// on, a target that is not known to hold the published version gets no requests, and a version
+/// that is published before the previous one is in place does not postpone the previous one's
+/// bound.
 #[actix_rt::test]
-async fn targets_with_old_weights_get_nothing_after_the_bound() {
+async fn targets_with_old_weights_get_no_requests_after_the_bound() {
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
     let named = |version, age_millis| NamedVersion { model: model(), version, age_millis };
@@ -32,7 +33,11 @@
         age_millis: 0,
     };
     table.note_engine(&engine(1, true), now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(1)), "2 accepts nothing while it loads");
+    assert_eq!(
+        choose(&table, &[], now),
+        Choice::Target(id(1)),
+        "2 accepts no requests while it loads"
+    );
     let bound = now + VERSION_LIMIT;
     table.note_engine(&engine(2, false), bound);
     assert_eq!(choose(&table, &[], bound), Choice::Target(id(2)));
@@ -42,12 +47,12 @@
     assert_eq!(choose(&table, &[], second_bound), Choice::Target(id(2)));
 }
 
-/// What users would see: an answer from weights that operators replaced. A request is sent in time
-/// to a target with old weights, waits there for a place for more than a second because all targets
-/// are full, and begins after the bound. The longer a target's first bytes take, the earlier before
-/// the bound requests must stop going to it while its weights are old.
+/// Guards against responses from weights that operators replaced. A request is sent in time to a
+/// target with old weights, waits there for a slot for more than a second because all targets are
+/// full, and begins after the staleness bound. The longer a target's time to first byte, the
+/// earlier before the bound requests must stop going to it while its weights are old.
 #[actix_rt::test]
-async fn full_targets_with_old_weights_are_left_earlier() {
+async fn requests_stop_going_to_full_targets_with_old_weights_earlier() {
     let now = Instant::now();
     let mut table = table(&[1], now);
     table.note_version(
@@ -64,11 +69,11 @@
     assert_eq!(choose(&table, &[], early), Choice::Target(id(1)));
 }
 
-/// What users would see: an answer from weights that operators replaced. Just before the bound all
-/// entries send to the last targets that do not switch yet, and requests wait there past it. One
-/// that has not begun by then must be taken back and go elsewhere.
+/// Guards against responses from weights that operators replaced. Just before the staleness bound
+/// all entries send to the last targets that have not switched yet, and requests wait there past
+/// it. A request that has not begun by then must be cancelled and sent to another target.
 #[actix_rt::test]
-async fn requests_leave_old_weights_before_the_bound() {
+async fn requests_leave_old_weights_by_the_bound() {
     let now = Instant::now();
     let mut table = table(&[1], now);
     let (target, model) = (id(1), model());
@@ -92,7 +97,7 @@
 }
 
 #[actix_rt::test]
-async fn an_agent_is_believed_over_an_older_announcement() {
+async fn a_report_of_an_agent_overrides_an_older_announcement() {
     let now = Instant::now();
     let mut table = table(&[1], now);
     let fresh = EngineNews {
@@ -106,15 +111,15 @@
     };
     let at = now + Duration::from_millis(10);
     table.note_engine(&fresh, at);
-    assert_eq!(choose(&table, &[], at), Choice::NoTarget, "the engine restarted and is empty");
-    let mut old = news(record(1, 2, TargetState::Ready));
-    old.age_millis = 5_000;
-    table.note_target(0, &old, at);
+    assert_eq!(choose(&table, &[], at), Choice::NoTarget, "the engine restarted without weights");
+    let mut older_record = news(record(1, 2, TargetState::Ready));
+    older_record.age_millis = 5_000;
+    table.note_target(0, &older_record, at);
     assert_eq!(choose(&table, &[], at), Choice::NoTarget);
 }
 
 #[test]
-fn turns_are_spread_over_the_time_before_the_bound() {
+fn switch_turns_are_spread_over_the_time_before_the_bound() {
     let timing = SwitchTiming { bound: Duration::from_secs(8), reserve: Duration::from_secs(2) };
     let schedule = SwitchSchedule::new(timing);
     for ready in [0, 3, 5] {
@@ -131,11 +136,12 @@
     assert_eq!(schedule.turn(late, 5, 6), late, "too late to wait");
 }
 
-/// What users would see: an answer from weights that operators replaced long ago. The link of one
-/// target is narrow, and a request is on its way there for more than a second. It was seen to be slow
-/// some seconds ago and got nothing since; before the bound it must be left earlier than the others.
+/// Guards against responses from weights that operators replaced long ago. The link of one target
+/// is slow, and a request to it is in flight for more than a second. It was found slow some seconds
+/// ago and has had no requests since; before the staleness bound requests must stop going to it
+/// earlier than to the others.
 #[actix_rt::test]
-async fn a_target_behind_a_narrow_link_is_left_earlier_before_the_bound() {
+async fn requests_stop_going_to_a_target_behind_a_slow_link_earlier() {
     let start = Instant::now();
     let millis = Duration::from_millis;
     let mut table = table(&[1, 2, 3, 4], start);
@@ -150,8 +156,8 @@
     }
     table.begin(&id(2), start + millis(1_400));
     table.end(&id(2), AttemptOutcome::Unreachable, start + millis(2_400));
-    // The agent beside the third finds its link slow.
-    let narrow = EngineNews {
+    // The agent beside target 3 reports that its link is slow.
+    let slow_link = EngineNews {
         address: address(3),
         incarnation: Incarnation::UNSTATED,
         models: held(1),
@@ -160,9 +166,9 @@
         link_delay_millis: 1_000,
         age_millis: 0,
     };
-    table.note_engine(&narrow, start + millis(2_500));
-    table.note_engine(&EngineNews { link_delay_millis: 0, ..narrow }, start + millis(2_600));
-    // Four seconds without a request to any: what was measured is old.
+    table.note_engine(&slow_link, start + millis(2_500));
+    table.note_engine(&EngineNews { link_delay_millis: 0, ..slow_link }, start + millis(2_600));
+    // No requests for more than three seconds: all measurements are old.
     let before = start + VERSION_LIMIT - millis(1_200);
     for _ in 0..40 {
         let choice = choose(&table, &[], before);
@@ -181,46 +187,48 @@
     }
 }
 
-/// What users would see: no service for five seconds. Two versions are named within two seconds, and
-/// the origin goes away in between: the first is spread already and nobody takes it, the second
-/// cannot be had, and the first's bound passes. Engines must take the first shortly before.
+/// Guards against five seconds without service. Two versions are published within two seconds, and
+/// the origin becomes unreachable in between: the first is already distributed but no engine loads
+/// it, the second cannot be fetched, and the first one's staleness bound passes. Engines must load
+/// the first version shortly before.
 #[test]
-fn an_overtaken_version_is_taken_where_the_newest_is_late() {
+fn a_superseded_version_is_loaded_where_the_newest_is_late() {
     let bound = Duration::from_secs(8);
     let timing = SwitchTiming { bound, reserve: Duration::from_millis(1_600) };
     let rule = OlderVersionUse::new(timing);
     let millis = Duration::from_millis;
     assert!(rule.is_worth(&older_view()));
-    // In turns, so that not all engines are out at once, and all before the bound.
+    // Engines load it one after the other, so that not all are out of service at once, and all
+    // before the bound.
     let at = |since_named, rank| OlderVersionView { since_named, rank, ..older_view() };
-    assert!(!rule.is_worth(&at(millis(4_000), 0)), "the newest may still come");
-    let out_at =
+    assert!(!rule.is_worth(&at(millis(4_000), 0)), "the newest may still arrive");
+    let loading_count =
         |since_named| (0..24).filter(|rank| rule.is_worth(&at(since_named, *rank))).count();
-    let counts: Vec<usize> = (44..=64).map(|tenth| out_at(millis(tenth * 100))).collect();
+    let counts: Vec<usize> = (44..=64).map(|tenth| loading_count(millis(tenth * 100))).collect();
     assert!(counts.windows(2).all(|pair| pair[1] - pair[0] <= 2), "{counts:?}");
     assert_eq!(counts.last(), Some(&24));
-    // The newest will be here in time.
+    // The newest version will be complete in time.
     let newest_whole_in = Some(millis(200));
     assert!(!rule.is_worth(&OlderVersionView { newest_whole_in, ..older_view() }));
     let newest_whole_in = Some(millis(2_500));
     assert!(rule.is_worth(&OlderVersionView { newest_whole_in, ..older_view() }));
-    // Too short a use: the newest's own bound is near.
+    // The superseded version would be in use too briefly: the newest one's own bound is near.
     let since_newest = millis(6_000);
     assert!(!rule.is_worth(&OlderVersionView { since_newest, ..older_view() }));
-    // An engine that serves nobody waits for no turn.
-    let early = OlderVersionView { since_named: millis(2_500), rank: 23, ..older_view() };
-    assert!(rule.is_worth(&OlderVersionView { serves: false, ..early }));
-    assert!(!rule.is_worth(&early));
+    // An engine that is not serving does not wait for its turn.
+    let early_view = OlderVersionView { since_named: millis(2_500), rank: 23, ..older_view() };
+    assert!(rule.is_worth(&OlderVersionView { serves: false, ..early_view }));
+    assert!(!rule.is_worth(&early_view));
 }
 
-/// What users would see: waits in vain. All targets lack the wanted weights; while their chunks come,
-/// requests may wait for them, but not while the agents see no end of it.
+/// Guards against requests that wait in vain. All targets lack the published weights. Requests may
+/// wait while chunks of them arrive, but not while all agents report that none do.
 #[actix_rt::test]
-async fn an_outage_without_an_end_in_sight_is_not_waited_out() {
+async fn requests_do_not_wait_while_no_chunks_arrive() {
     let now = Instant::now();
     let later = now + Duration::from_secs(4);
     let mut table = table(&[1, 2], now);
-    assert!(table.is_expected(&service(), now), "it started a moment ago");
+    assert!(table.is_expected(&service(), now), "the entry has just started");
     let lacking = |host, stalled| EngineNews {
         address: address(host),
         incarnation: Incarnation::UNSTATED,
@@ -238,10 +246,11 @@
     assert!(!table.is_expected(&service(), later));
 }
 
-/// What users would see: engines that take an overtaken version, out of service twice, although the newest
-/// is here in two seconds. The origin was gone for six, and the pause counted as the chunks' pace.
+/// Guards against engines that load a superseded version, and so are out of service twice, although
+/// the newest will be complete in two seconds: the origin was unreachable for six seconds, and the
+/// gap lowered the measured pace of the chunks.
 #[actix_rt::test]
-async fn a_pause_of_the_origin_does_not_count_as_the_pace_of_chunks() {
+async fn an_outage_of_the_origin_does_not_lower_the_pace_of_chunks() {
     let millis = Duration::from_millis;
     let start = Instant::now();
     let mut pace = ChunkPace::new(0, start);
@@ -249,13 +258,14 @@
     for held in 1..=8 {
         pace.record(held, start + millis(50) * held);
     }
-    let steady = pace.time_to_complete(48, start + millis(400)).expect("chunks come");
-    assert_eq!(steady, millis(2_000));
+    let time_left = pace.time_to_complete(48, start + millis(400)).expect("chunks arrive");
+    assert_eq!(time_left, millis(2_000));
     let back = start + millis(6_500);
-    assert_eq!(pace.time_to_complete(48, back), None, "they stopped coming");
+    assert_eq!(pace.time_to_complete(48, back), None, "chunks have stopped arriving");
     for held in 9..=18 {
         pace.record(held, back + millis(50) * (held - 8));
     }
-    let expected = pace.time_to_complete(48, back + millis(500)).expect("chunks come again");
-    assert!(expected < millis(1_800), "{expected:?}");
+    let time_left_after =
+        pace.time_to_complete(48, back + millis(500)).expect("chunks arrive again");
+    assert!(time_left_after < millis(1_800), "{time_left_after:?}");
 }
