--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -177,7 +177,7 @@
             targets_seen: self.position.targets_seen,
             roster_seen: self.position.roster_seen,
             config_held: shared.config_version(),
-            config_wish: shared.config.borrow().wish(self.position.config_version),
+            config_wish: shared.config.borrow().next_request(self.position.config_version),
             wait_millis: READING_WAIT.as_millis() as u64,
         }
     }
@@ -206,14 +206,14 @@
                 places.targets.source_restarted(self.source, now);
             }
             for id in &reply.gone {
-                places.targets.note_gone(id, now);
+                places.targets.remove_target(id, now);
             }
             for news in &reply.targets {
                 log_target(news);
-                places.targets.note_target(self.source, news, now);
+                places.targets.apply_target(self.source, news, now);
             }
             for news in &reply.engines {
-                places.targets.note_engine(news, now);
+                places.targets.apply_engine(news, now);
             }
         }
         for id in &reply.gone {
@@ -244,14 +244,14 @@
         {
             let mut places = shared.places.borrow_mut();
             for named in &roster.versions {
-                places.targets.note_version(named, shared.options.version_limit, now);
+                places.targets.apply_version(named, shared.options.version_limit, now);
             }
         }
         shared.note_roster(self.source, Some(roster.entries));
     }
 }
 
-fn log_target(news: &egretseam_serving::TargetNews) {
+fn log_target(news: &egretseam_serving::TargetStatus) {
     tracing::info!(
         target_id = %news.record.id,
         service = %news.record.service,
@@ -267,7 +267,7 @@
 
 /// Puts a configuration in force if it is newer than the one in force.
 fn take_config(shared: &GatewayShared, base: u64, version: u64, packed: &PackedDocument) {
-    let taken = shared.config.borrow_mut().take(base, version, packed);
+    let taken = shared.config.borrow_mut().apply(base, version, packed);
     let config = match taken {
         Ok(Some(config)) => config,
         Ok(None) => return,
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use egretseam_h1::RequestHead;
 use egretseam_proto::{OrganisationName, ServiceName};
-use egretseam_serving::{AttemptLimits, KeyHolder, RouteRecord, WaitClaim};
+use egretseam_serving::{AttemptLimits, KeyHolder, RouteRecord, WaitUrgency};
 use std::{rc::Rc, time::Duration};
 use tokio::time::Instant;
 
@@ -55,24 +55,24 @@
     }
 
     /// What limits its attempts and its waits for further places.
-    pub(crate) fn limits(&self, stay: Duration) -> AttemptLimits {
+    pub(crate) fn limits(&self, stream_idle_timeout: Duration) -> AttemptLimits {
         AttemptLimits {
             awaits_stream: self.route.kind.is_stream() && !self.answering,
             objective: self.route.objective,
             received_at: self.received_at,
             deadline: self.deadline,
-            stay,
+            stream_idle_timeout,
         }
     }
 
     /// What the request may claim of a wait, by its rank and how long its caller has been trying.
-    pub(crate) fn claim(&self) -> WaitClaim {
+    pub(crate) fn claim(&self) -> WaitUrgency {
         if self.answering {
-            return WaitClaim::resumed();
+            return WaitUrgency::resumed();
         }
         let own = self.holder.as_ref().and_then(|holder| holder.priority);
         let trying_for = self.tried_before + self.received_at.elapsed();
         let objective = self.route.objective;
-        WaitClaim::new(own.unwrap_or(self.route.priority), objective, trying_for)
+        WaitUrgency::new(own.unwrap_or(self.route.priority), objective, trying_for)
     }
 }
--- a/crates/stager/src/dialect.rs
+++ b/crates/stager/src/dialect.rs
@@ -5,13 +5,13 @@
 use egretseam_proto::ModelName;
 use egretseam_serving::{HeldModel, Incarnation};
 
-/// A call to make.
+/// An HTTP request to the engine or to the origin of weights.
 #[derive(Clone, Debug)]
-pub struct EngineCall {
+pub struct EngineRequest {
     /// Method.
     pub method: &'static str,
     /// Path and query.
-    pub target: String,
+    pub path_and_query: String,
     /// `Content-Type`; empty for none.
     pub content_type: &'static str,
     /// Body.
@@ -30,24 +30,24 @@
     /// Orders that this run of the engine has begun; 0 from one that does not count them.
     pub orders_begun: u64,
     /// Requests that run.
-    pub running: u32,
+    pub running_requests: u32,
     /// Requests that wait.
-    pub waiting: u32,
+    pub queued_requests: u32,
 }
 
 /// An order to take what is staged.
 #[derive(Clone, Copy, Debug)]
-pub struct WeightsOrder<'a> {
+pub struct LoadOrder<'a> {
     /// Model that is staged.
     pub model: &'a ModelName,
     /// Version that is staged.
     pub version: u64,
     /// Whether running requests are cut off; otherwise they end first.
-    pub cut: bool,
+    pub preempt: bool,
     /// Orders that the engine must have begun before this one; with any other count it refuses.
-    pub begun_before: u64,
+    pub expected_orders_begun: u64,
     /// Fencing token: an engine refuses the order if it has accepted one with a higher token.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 /// How an engine took an order.
@@ -56,7 +56,7 @@
     /// It has begun, or is in effect already.
     Accepted,
     /// It does not fit the engine's state, or never reached it.
-    Refused,
+    Rejected,
     /// Nothing came back that says; the engine may have begun it, or may begin it later.
     Unknown,
 }
@@ -64,29 +64,29 @@
 /// What engines and the origin speak.
 pub trait EngineDialect {
     /// Asks an engine for its state.
-    fn report(&self) -> EngineCall;
+    fn report_request(&self) -> EngineRequest;
     /// Reads it.
     ///
     /// # Errors
     /// Says what cannot be read.
-    fn read_report(&self, body: &[u8]) -> Result<EngineReport, String>;
+    fn parse_report(&self, body: &[u8]) -> Result<EngineReport, String>;
     /// Orders an engine to take what is staged when it accepts the order.
-    fn order(&self, order: &WeightsOrder<'_>) -> EngineCall;
+    fn order_request(&self, order: &LoadOrder<'_>) -> EngineRequest;
     /// Reads how it took the order, by the status.
-    fn read_order(&self, status: u16) -> OrderOutcome;
+    fn order_outcome(&self, status: u16) -> OrderOutcome;
     /// Whether the engine refused an order because it has accepted one with a higher fencing token.
-    fn is_fenced_off(&self, status: u16) -> bool;
+    fn is_fencing_rejection(&self, status: u16) -> bool;
     /// Stages a chunk.
-    fn put_chunk(&self, model: &ModelName, index: u32, bytes: Bytes) -> EngineCall;
+    fn put_chunk_request(&self, model: &ModelName, index: u32, bytes: Bytes) -> EngineRequest;
     /// Reads a staged chunk back.
-    fn get_chunk(&self, model: &ModelName, index: u32) -> EngineCall;
+    fn get_chunk_request(&self, model: &ModelName, index: u32) -> EngineRequest;
     /// Asks the origin for the digests of a version.
-    fn digests(&self, model: &ModelName, version: u64) -> EngineCall;
+    fn digests_request(&self, model: &ModelName, version: u64) -> EngineRequest;
     /// Reads them.
     ///
     /// # Errors
     /// Says what cannot be read.
-    fn read_digests(&self, body: &[u8]) -> Result<WeightDigests, String>;
+    fn parse_digests(&self, body: &[u8]) -> Result<WeightDigests, String>;
     /// Asks the origin for a chunk.
-    fn origin_chunk(&self, model: &ModelName, version: u64, index: u32) -> EngineCall;
+    fn origin_chunk_request(&self, model: &ModelName, version: u64, index: u32) -> EngineRequest;
 }
--- a/crates/stager/src/digest_search.rs
+++ b/crates/stager/src/digest_search.rs
@@ -10,7 +10,7 @@
 use crate::{
     digests::WeightDigests,
     ranks,
-    shared::{HeldPlan, StagerShared, request},
+    shared::{ReceivedPlan, StagerShared, request},
     transfer::origin_client,
 };
 use egretseam_proto::{ModelName, ZoneName};
@@ -41,12 +41,12 @@
 
 /// When an agent asks the origin.
 #[derive(Clone, Copy, Debug)]
-pub struct OriginTurns {
+pub struct OriginSchedule {
     began_at: Instant,
     asked_at: Option<Instant>,
 }
 
-impl OriginTurns {
+impl OriginSchedule {
     /// An agent that begins to look for the list.
     pub fn new(now: Instant) -> Self {
         Self { began_at: now, asked_at: None }
@@ -62,7 +62,7 @@
     }
 
     /// Notes that the origin was asked.
-    pub fn note_asked(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.asked_at = Some(now);
     }
 }
@@ -82,7 +82,7 @@
 pub(crate) async fn find(shared: &StagerShared, key: &WeightsKey) -> WeightDigests {
     // Failure guarded: the list itself was spoilt on its way, and the agent that had it from another
     // one would get the same list again.
-    if shared.distrusts_peers.take() {
+    if shared.requires_origin_digests.take() {
         return from_origin(shared, key, true).await;
     }
     tokio::select! {
@@ -94,7 +94,7 @@
 }
 
 /// Digests of versions that staged chunks may be of, from another agent drawn at random.
-pub(crate) async fn like(
+pub(crate) async fn versions_matching(
     shared: &StagerShared,
     model: &ModelName,
     digests: &[[u8; 32]],
@@ -117,7 +117,7 @@
 }
 
 async fn from_origin(shared: &StagerShared, key: &WeightsKey, at_once: bool) -> WeightDigests {
-    let mut turns = OriginTurns::new(Instant::now());
+    let mut turns = OriginSchedule::new(Instant::now());
     loop {
         let plan = shared.plan.borrow().clone();
         let rank = |plan| if at_once { 0 } else { own_rank(shared, plan) };
@@ -131,7 +131,7 @@
                     tracing::info!(version = key.version, error, "the origin gives no digests");
                 }
             }
-            turns.note_asked(Instant::now());
+            turns.record_request(Instant::now());
         }
         tokio::time::sleep(TURN_INTERVAL).await;
     }
@@ -141,29 +141,29 @@
 /// what lies beside it already. It shows as a whole copy drawn from the origin at every start of the
 /// system. Before anything is named there is no hurry: what others have is taken, so that an added
 /// engine finds it when it is up, but the origin is not asked.
-fn may_ask_origin(shared: &StagerShared, plan: &HeldPlan) -> bool {
+fn may_ask_origin(shared: &StagerShared, plan: &ReceivedPlan) -> bool {
     let is_up = shared.report.borrow().is_some();
     is_up || (shared.options.fetches_early && plan.plan.version.is_some())
 }
 
 /// An agent that is not among the peers yet asks last.
-fn own_rank(shared: &StagerShared, plan: &HeldPlan) -> usize {
-    ranks::own_place(shared, plan).unwrap_or(plan.peers.len())
+fn own_rank(shared: &StagerShared, plan: &ReceivedPlan) -> usize {
+    ranks::swarm_rank(shared, plan).unwrap_or(plan.peers.len())
 }
 
 async fn ask_origin(
     shared: &StagerShared,
-    plan: &HeldPlan,
+    plan: &ReceivedPlan,
     key: &WeightsKey,
 ) -> Result<WeightDigests, String> {
-    let call = shared.dialect.digests(&key.model, key.version);
+    let call = shared.dialect.digests_request(&key.model, key.version);
     let mut origin = origin_client(plan.plan.origin);
     let reply = origin.call(&request(&call, ORIGIN_LIMIT)).await;
     let reply = reply.map_err(|error| error.to_string())?;
     if reply.status != 200 {
         return Err(format!("status {}", reply.status));
     }
-    let digests = shared.dialect.read_digests(&reply.body)?;
+    let digests = shared.dialect.parse_digests(&reply.body)?;
     if digests.model != key.model || digests.version != key.version || digests.count() == 0 {
         return Err("the origin answers with another version".to_owned());
     }
@@ -231,9 +231,9 @@
     }
 }
 
-fn parent(shared: &StagerShared, plan: &HeldPlan) -> Option<SocketAddr> {
+fn parent(shared: &StagerShared, plan: &ReceivedPlan) -> Option<SocketAddr> {
     let above = own_rank(shared, plan).checked_sub(1)? / TREE_WIDTH;
-    let names = ranks::ranked(&plan.peers, plan.version());
+    let names = ranks::ranked_instances(&plan.peers, plan.version());
     names.get(above).map(|(_, target)| *target)
 }
 
--- a/crates/stager/src/follow.rs
+++ b/crates/stager/src/follow.rs
@@ -1,12 +1,12 @@
 //! Telling control about the engine, and learning what to bring to it.
 
 use crate::{
-    shared::{HeldPlan, StagerShared},
+    shared::{ReceivedPlan, StagerShared},
     switch,
 };
 use egretseam_proto::ZoneName;
 use egretseam_rpc::{AgentCall, AgentReply, FeedLink, LinkOptions, WeightsPlan};
-use egretseam_serving::{PeerMap, SwarmPeer, apply_peers};
+use egretseam_serving::{PeerMap, SwarmPeer, apply_peer_updates};
 use std::{net::SocketAddr, rc::Weak, time::Duration};
 use tokio::time::Instant;
 
@@ -24,7 +24,7 @@
 /// Follows one control member at a time, another one after a failure.
 pub(crate) async fn follow(shared: Weak<StagerShared>) {
     let mut members = match shared.upgrade() {
-        Some(shared) => shared.options.seeds.borrow().clone(),
+        Some(shared) => shared.options.feed_seeds.borrow().clone(),
         None => return,
     };
     let mut at: usize = rand::random::<u16>().into();
@@ -35,7 +35,7 @@
     loop {
         let Some(held) = shared.upgrade() else { return };
         if members.is_empty() {
-            members = held.options.seeds.borrow().clone();
+            members = held.options.feed_seeds.borrow().clone();
         }
         let Some(address) = members.get(at % members.len().max(1)).cloned() else {
             tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
@@ -51,7 +51,7 @@
         let call = AgentCall {
             target: held.options.target,
             service: held.options.service.clone(),
-            engine: held.engine_news(),
+            engine: held.engine_status(),
             run: position.run,
             seen: position.seen,
             peers_seen: position.peers_seen,
@@ -61,13 +61,13 @@
             reply = current.agent(call) => Some(reply),
             // News of the engine are told at once.
             _ = report.changed() => None,
-            () = held.tell.notified() => None,
+            () = held.report_due.notified() => None,
         };
         match reply {
             None => {}
             Some(Ok(reply)) => {
                 has_answered = true;
-                held.member.set(address.parse().ok());
+                held.control_member.set(address.parse().ok());
                 if !reply.members.is_empty() {
                     members.clone_from(&reply.members);
                 }
@@ -76,7 +76,7 @@
             Some(Err(error)) => {
                 tracing::info!(member = %address, %error, "a control member does not answer");
                 at = at.wrapping_add(1);
-                let seeds = held.options.seeds.borrow().clone();
+                let seeds = held.options.feed_seeds.borrow().clone();
                 members.extend(
                     seeds.into_iter().filter(|seed| !members.contains(seed)).collect::<Vec<_>>(),
                 );
@@ -119,7 +119,7 @@
     fn take(&mut self, shared: &StagerShared, reply: AgentReply) {
         (self.run, self.seen, self.peers_seen) = (reply.run, reply.seen, reply.peers_seen);
         let has_peers = !reply.peers.is_empty();
-        apply_peers(&mut self.peers, reply.peers);
+        apply_peer_updates(&mut self.peers, reply.peers);
         let peers = || {
             let peer = |(target, zone): (&SocketAddr, &ZoneName)| SwarmPeer {
                 target: *target,
@@ -156,10 +156,11 @@
             // A member that is behind; the newest version that was ever named is wanted.
             return;
         }
-        let named_at = same.map_or(told_at, |held| held.named_at.min(told_at));
+        let published_at = same.map_or(told_at, |held| held.published_at.min(told_at));
         tracing::info!(?version, peers = peers.len(), "plan changed");
         let unmet = held.as_ref().filter(|held| !switch::holds(shared, &held.key()));
-        let due_from = unmet.map_or(named_at, |held| held.due_from.min(named_at));
-        *held = Some(HeldPlan { plan, peers, named_at, due_from });
+        let staleness_start =
+            unmet.map_or(published_at, |held| held.staleness_start.min(published_at));
+        *held = Some(ReceivedPlan { plan, peers, published_at, staleness_start });
     });
 }
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -1,11 +1,11 @@
 //! Having the engine take staged weights.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     contents,
-    dialect::{OrderOutcome, WeightsOrder},
+    dialect::{LoadOrder, OrderOutcome},
     engine, fencing, former_orders,
-    order_ledger::WholeWeights,
+    order_tracker::CompleteWeights,
     shared::StagerShared,
     staging::stage,
 };
@@ -60,7 +60,7 @@
     if !is_resolved || !settle(shared, key, cut, drain_until).await {
         return false;
     }
-    let whole = shared.chunks.borrow().get(key).and_then(HeldWeights::whole);
+    let whole = shared.chunks.borrow().get(key).and_then(VersionChunks::complete);
     let Some(weights) = whole else { return false };
     stage_and_order(shared, &Rc::new(weights), cut, drain_until).await
 }
@@ -73,12 +73,17 @@
 /// until the engine has answered a copy or begun one; then it refuses all other copies.
 async fn settle(shared: &StagerShared, key: &WeightsKey, cut: bool, drain_until: Instant) -> bool {
     engine::look(shared).await;
-    let Some(open) = shared.orders.borrow().open_for_other(key) else { return true };
+    let Some(open) = shared.orders.borrow().outstanding_for_other(key) else { return true };
     resend(shared, &open, cut, drain_until).await;
-    shared.orders.borrow().open_for_other(key).is_none()
+    shared.orders.borrow().outstanding_for_other(key).is_none()
 }
 
-async fn resend(shared: &StagerShared, open: &Rc<WholeWeights>, cut: bool, drain_until: Instant) {
+async fn resend(
+    shared: &StagerShared,
+    open: &Rc<CompleteWeights>,
+    cut: bool,
+    drain_until: Instant,
+) {
     tracing::info!(version = open.key.version, "an open order is resent");
     stage_and_order(shared, open, cut, drain_until).await;
 }
@@ -93,7 +98,7 @@
     loop {
         tokio::time::sleep(LOOK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
-        if shared.orders.borrow().open().is_none() {
+        if shared.orders.borrow().outstanding().is_none() {
             continue;
         }
         // Whoever has just given it waits for its outcome with this lock held.
@@ -101,7 +106,7 @@
         if !engine::look(&shared).await {
             continue;
         }
-        let open = shared.orders.borrow().open();
+        let open = shared.orders.borrow().outstanding();
         if let Some(open) = open {
             let cut = shared.plan.borrow().as_ref().is_some_and(|held| held.plan.may_cut);
             resend(&shared, &open, cut, Instant::now() + DRAIN_LIMIT).await;
@@ -111,7 +116,7 @@
 
 async fn stage_and_order(
     shared: &StagerShared,
-    weights: &Rc<WholeWeights>,
+    weights: &Rc<CompleteWeights>,
     cut: bool,
     drain_until: Instant,
 ) -> bool {
@@ -119,7 +124,7 @@
         return false;
     }
     // Entries are told before the engine is, so that no request meets an engine that refuses it.
-    let _ordering = shared.begin_ordering();
+    let _ordering = shared.begin_order();
     tokio::join!(tokio::time::sleep(TELL_AHEAD), contents::note(shared, &weights.digests));
     if cut {
         drain(shared, drain_until).await;
@@ -133,8 +138,11 @@
     let until = until.min(Instant::now() + DRAIN_LIMIT);
     while Instant::now() < until {
         engine::look(shared).await;
-        let at_work =
-            shared.report.borrow().as_ref().map_or(0, |report| report.running + report.waiting);
+        let at_work = shared
+            .report
+            .borrow()
+            .as_ref()
+            .map_or(0, |report| report.running_requests + report.queued_requests);
         if at_work == 0 {
             return;
         }
@@ -142,35 +150,36 @@
     }
 }
 
-async fn order(shared: &StagerShared, weights: &Rc<WholeWeights>, cut: bool) -> bool {
+async fn order(shared: &StagerShared, weights: &Rc<CompleteWeights>, cut: bool) -> bool {
     if !engine::look(shared).await {
         return false;
     }
     let begun = shared.report.borrow().as_ref().map_or(0, |report| report.orders_begun);
-    let begun_before = shared.orders.borrow_mut().note_sent(weights, begun);
+    let expected_orders_begun = shared.orders.borrow_mut().record_sent(weights, begun);
     let WeightsKey { model, version } = &weights.key;
-    let fence = shared.fence.borrow_mut().next_token();
-    let order = WeightsOrder { model, version: *version, cut, begun_before, fence };
+    let fencing_token = shared.fence.borrow_mut().next_token();
+    let order =
+        LoadOrder { model, version: *version, preempt: cut, expected_orders_begun, fencing_token };
     let outcome = send(shared, &order).await;
-    shared.orders.borrow_mut().note_outcome(outcome);
+    shared.orders.borrow_mut().record_outcome(outcome);
     tracing::info!(
         %model,
         version,
-        begun_before,
+        begun_before = expected_orders_begun,
         ?outcome,
         "ordered the engine to take weights"
     );
     await_version(shared, &weights.key, outcome).await
 }
 
-async fn send(shared: &StagerShared, order: &WeightsOrder<'_>) -> OrderOutcome {
+async fn send(shared: &StagerShared, order: &LoadOrder<'_>) -> OrderOutcome {
     shared.metrics.orders.inc();
-    let outcome = match shared.order_engine(&shared.dialect.order(order)).await {
+    let outcome = match shared.send_order(&shared.dialect.order_request(order)).await {
         Ok(reply) => {
-            if shared.dialect.is_fenced_off(reply.status) {
-                shared.fence.borrow_mut().note_fenced_off();
+            if shared.dialect.is_fencing_rejection(reply.status) {
+                shared.fence.borrow_mut().record_fencing_rejection();
             }
-            shared.dialect.read_order(reply.status)
+            shared.dialect.order_outcome(reply.status)
         }
         Err(error) if error.may_have_run() => {
             tracing::info!(%error, "the order's outcome is not known");
@@ -178,12 +187,12 @@
         }
         Err(error) => {
             tracing::info!(%error, "the order could not be sent");
-            OrderOutcome::Refused
+            OrderOutcome::Rejected
         }
     };
     match outcome {
-        OrderOutcome::Accepted => shared.fence.borrow_mut().note_accepted(),
-        OrderOutcome::Refused => shared.metrics.orders_refused.inc(),
+        OrderOutcome::Accepted => shared.fence.borrow_mut().record_accepted(),
+        OrderOutcome::Rejected => shared.metrics.orders_refused.inc(),
         OrderOutcome::Unknown => shared.metrics.orders_unknown.inc(),
     }
     outcome
--- a/crates/stager/src/work.rs
+++ b/crates/stager/src/work.rs
@@ -1,9 +1,9 @@
 //! Bringing the plan about: digests, chunks, the engine's turn.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     digest_search, older, ranks,
-    shared::{HeldPlan, StagerShared},
+    shared::{ReceivedPlan, StagerShared},
     staging, switch,
     transfer::Transfer,
 };
@@ -24,7 +24,7 @@
     let mut plan = held.plan.subscribe();
     let mut report = held.report.subscribe();
     drop(held);
-    let mut before: Option<HeldPlan> = None;
+    let mut before: Option<ReceivedPlan> = None;
     loop {
         let Some(shared) = shared.upgrade() else { return };
         let wanted = plan.borrow_and_update().clone();
@@ -62,12 +62,13 @@
 }
 
 /// Takes the next steps towards `key`; returns when nothing is left to do for now.
-async fn bring(shared: &Rc<StagerShared>, wanted: &HeldPlan, key: &WeightsKey) {
+async fn bring(shared: &Rc<StagerShared>, wanted: &ReceivedPlan, key: &WeightsKey) {
     let known = shared.chunks.borrow().get(key).is_some();
     if !known {
         begin(shared, key).await;
     }
-    let whole = shared.chunks.borrow().get(key).is_some_and(|weights| weights.held().is_full());
+    let whole =
+        shared.chunks.borrow().get(key).is_some_and(|weights| weights.chunk_set().is_full());
     if !whole {
         fetch(shared, wanted, key).await;
     }
@@ -79,8 +80,9 @@
         return;
     }
     await_turn(shared, wanted).await;
-    let timing = shared.options.timing;
-    let drain_until = due_from(shared, wanted) + timing.bound.saturating_sub(timing.reserve / 2);
+    let timing = shared.options.switch_timing;
+    let drain_until =
+        due_from(shared, wanted) + timing.staleness_bound.saturating_sub(timing.reserve / 2);
     switch::take(shared, key, wanted.plan.may_cut, drain_until).await;
 }
 
@@ -88,7 +90,7 @@
 async fn begin(shared: &Rc<StagerShared>, key: &WeightsKey) {
     let digests = digest_search::find(shared, key).await;
     tracing::info!(version = key.version, chunks = digests.count(), "fetching a version");
-    let mut weights = HeldWeights::new(key.clone(), Rc::new(digests));
+    let mut weights = VersionChunks::new(key.clone(), Rc::new(digests));
     for index in 0..weights.digests.count() {
         let staged = staging::read_back(shared, key, index).await;
         match staged.filter(|bytes| weights.digests.matches(index, bytes)) {
@@ -98,15 +100,15 @@
             None => {}
         }
     }
-    if weights.held().is_full() && switch::holds(shared, key) {
-        shared.knows_orders.set(true);
+    if weights.chunk_set().is_full() && switch::holds(shared, key) {
+        shared.previous_orders_known.set(true);
     }
-    shared.chunks.borrow_mut().begin(weights);
-    shared.weights_begun.send_modify(|count| *count += 1);
+    shared.chunks.borrow_mut().start_version(weights);
+    shared.digests_added.send_modify(|count| *count += 1);
 }
 
 /// Fetches all chunks, following changes of the swarm meanwhile.
-async fn fetch(shared: &Rc<StagerShared>, wanted: &HeldPlan, key: &WeightsKey) {
+async fn fetch(shared: &Rc<StagerShared>, wanted: &ReceivedPlan, key: &WeightsKey) {
     let transfer = {
         let chunks = shared.chunks.borrow();
         let Some(weights) = chunks.get(key) else { return };
@@ -139,9 +141,9 @@
     tracing::info!(
         version = key.version,
         millis = began.elapsed().as_millis() as u64,
-        from_origin = transfer.fetched_from_origin(),
-        origin_millis = transfer.origin_done_in().as_millis() as u64,
-        across_zones = transfer.across_zones(),
+        from_origin = transfer.origin_chunks(),
+        origin_millis = transfer.last_origin_chunk_after().as_millis() as u64,
+        across_zones = transfer.cross_zone_chunks(),
         "all chunks are here"
     );
 }
@@ -155,19 +157,23 @@
         version = key.version,
         "the digests match nobody's chunks; asking the origin anew"
     );
-    shared.chunks.borrow_mut().forget();
-    shared.distrusts_peers.set(true);
+    shared.chunks.borrow_mut().discard_current();
+    shared.requires_origin_digests.set(true);
 }
 
 /// Waits for this instance's turn. An engine that holds nothing serves nobody, so it waits for
 /// none.
-async fn await_turn(shared: &StagerShared, wanted: &HeldPlan) {
+async fn await_turn(shared: &StagerShared, wanted: &ReceivedPlan) {
     if !serves(shared, wanted) || wanted.plan.version.is_none() {
         return;
     }
-    let (rank, count) = ranks::rank(shared, wanted);
+    let (rank, count) = ranks::rank_and_count(shared, wanted);
     let due_from = due_from(shared, wanted);
-    let turn = SwitchSchedule::new(shared.options.timing).turn(due_from.elapsed(), rank, count);
+    let turn = SwitchSchedule::new(shared.options.switch_timing).switch_offset(
+        due_from.elapsed(),
+        rank,
+        count,
+    );
     tracing::info!(
         rank,
         of = count,
@@ -178,7 +184,7 @@
 }
 
 /// Whether the engine holds the model at all.
-pub(crate) fn serves(shared: &StagerShared, wanted: &HeldPlan) -> bool {
+pub(crate) fn serves(shared: &StagerShared, wanted: &ReceivedPlan) -> bool {
     let report = shared.report.borrow();
     let models = report.iter().flat_map(|report| &report.models);
     models.into_iter().any(|held| held.model == wanted.plan.model)
@@ -186,10 +192,10 @@
 
 /// When the oldest version was named that the engine has not reached: its bound comes first. One
 /// that was overtaken and taken all the same is reached.
-fn due_from(shared: &StagerShared, wanted: &HeldPlan) -> Instant {
-    let older = shared.reached.borrow();
+fn due_from(shared: &StagerShared, wanted: &ReceivedPlan) -> Instant {
+    let older = shared.superseded_loaded.borrow();
     let reached = older.as_ref().is_some_and(|older| {
-        older.key.model == wanted.plan.model && older.named_at >= wanted.due_from
+        older.key.model == wanted.plan.model && older.published_at >= wanted.staleness_start
     });
-    if reached { wanted.named_at } else { wanted.due_from }
+    if reached { wanted.published_at } else { wanted.staleness_start }
 }
--- a/tests/all/narrow_links.rs
+++ b/tests/all/narrow_links.rs
@@ -1,7 +1,7 @@
 //! How an agent detects that its own link is slow, and how requests avoid such links.
 
 use crate::serving_tables::{choose, id, link_news, table};
-use egretseam_serving::Choice;
+use egretseam_serving::PlacementOutcome;
 use egretseam_swarm::LinkMonitor;
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
@@ -72,25 +72,32 @@
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for host in [1, 2] {
-        table.note_engine(&link_news(host, 1_000), now);
+        table.apply_engine(&link_news(host, 1_000), now);
     }
     for _ in 0..50 {
-        assert_eq!(choose(&table, &[], now), Choice::Target(id(3)));
+        assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(3)));
     }
     for _ in 0..4 {
-        table.begin(&id(3), now);
+        table.start_attempt(&id(3), now);
     }
     assert_eq!(
         choose(&table, &[], now),
-        Choice::Full,
+        PlacementOutcome::Full,
         "waits for a slot at the target behind the usual link"
     );
     let retried = choose(&table, &[id(3)], now);
-    assert!(matches!(retried, Choice::Target(_)), "only slow links are left for the retry");
-    table.note_engine(&link_news(3, 1_000), now);
-    assert!(matches!(choose(&table, &[], now), Choice::Target(_)), "all links are slow");
-    table.note_engine(&link_news(1, 0), now);
+    assert!(
+        matches!(retried, PlacementOutcome::Target(_)),
+        "only slow links are left for the retry"
+    );
+    table.apply_engine(&link_news(3, 1_000), now);
+    assert!(matches!(choose(&table, &[], now), PlacementOutcome::Target(_)), "all links are slow");
+    table.apply_engine(&link_news(1, 0), now);
     for _ in 0..50 {
-        assert_eq!(choose(&table, &[], now), Choice::Target(id(1)), "its link is no longer slow");
+        assert_eq!(
+            choose(&table, &[], now),
+            PlacementOutcome::Target(id(1)),
+            "its link is no longer slow"
+        );
     }
 }
--- a/tests/all/versions.rs
+++ b/tests/all/versions.rs
@@ -2,8 +2,8 @@
 
 use crate::serving_tables::{address, choose, held, id, model, news, record, service, table};
 use egretseam_serving::{
-    AttemptOutcome, Choice, EngineNews, Incarnation, NamedVersion, OlderVersionUse,
-    OlderVersionView, SwitchSchedule, SwitchTiming, TargetState,
+    AttemptOutcome, EngineStatus, Incarnation, OlderVersionPolicy, OlderVersionState,
+    PlacementOutcome, PublishedVersion, SwitchSchedule, SwitchTiming, TargetState,
 };
 use egretseam_swarm::ChunkPace;
 use std::time::Duration;
@@ -19,11 +19,11 @@
 async fn targets_with_old_weights_get_no_requests_after_the_bound() {
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
-    let named = |version, age_millis| NamedVersion { model: model(), version, age_millis };
-    table.note_version(&named(2, 0), VERSION_LIMIT, now);
-    table.note_version(&named(3, 0), VERSION_LIMIT, now + Duration::from_secs(4));
-    assert!(matches!(choose(&table, &[], now), Choice::Target(_)));
-    let engine = |version, loading| EngineNews {
+    let named = |version, age_millis| PublishedVersion { model: model(), version, age_millis };
+    table.apply_version(&named(2, 0), VERSION_LIMIT, now);
+    table.apply_version(&named(3, 0), VERSION_LIMIT, now + Duration::from_secs(4));
+    assert!(matches!(choose(&table, &[], now), PlacementOutcome::Target(_)));
+    let engine = |version, loading| EngineStatus {
         address: address(2),
         incarnation: Incarnation::UNSTATED,
         models: held(version),
@@ -32,19 +32,19 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.note_engine(&engine(1, true), now);
+    table.apply_engine(&engine(1, true), now);
     assert_eq!(
         choose(&table, &[], now),
-        Choice::Target(id(1)),
+        PlacementOutcome::Target(id(1)),
         "2 accepts no requests while it loads"
     );
     let bound = now + VERSION_LIMIT;
-    table.note_engine(&engine(2, false), bound);
-    assert_eq!(choose(&table, &[], bound), Choice::Target(id(2)));
+    table.apply_engine(&engine(2, false), bound);
+    assert_eq!(choose(&table, &[], bound), PlacementOutcome::Target(id(2)));
     let second_bound = bound + Duration::from_secs(4);
-    assert_eq!(choose(&table, &[], second_bound), Choice::NoTarget);
-    table.note_engine(&engine(3, false), second_bound);
-    assert_eq!(choose(&table, &[], second_bound), Choice::Target(id(2)));
+    assert_eq!(choose(&table, &[], second_bound), PlacementOutcome::NoTarget);
+    table.apply_engine(&engine(3, false), second_bound);
+    assert_eq!(choose(&table, &[], second_bound), PlacementOutcome::Target(id(2)));
 }
 
 /// Guards against responses from weights that operators replaced. A request is sent in time to a
@@ -55,18 +55,18 @@
 async fn requests_stop_going_to_full_targets_with_old_weights_earlier() {
     let now = Instant::now();
     let mut table = table(&[1], now);
-    table.note_version(
-        &NamedVersion { model: model(), version: 2, age_millis: 0 },
+    table.apply_version(
+        &PublishedVersion { model: model(), version: 2, age_millis: 0 },
         VERSION_LIMIT,
         now,
     );
     let bound = now + VERSION_LIMIT;
     let at = bound - Duration::from_millis(1_500);
-    assert_eq!(choose(&table, &[], at), Choice::Target(id(1)));
-    table.note_first_byte(&id(1), at - Duration::from_millis(1_200), at);
-    assert_eq!(choose(&table, &[], at), Choice::NoTarget);
+    assert_eq!(choose(&table, &[], at), PlacementOutcome::Target(id(1)));
+    table.record_first_byte(&id(1), at - Duration::from_millis(1_200), at);
+    assert_eq!(choose(&table, &[], at), PlacementOutcome::NoTarget);
     let early = bound - Duration::from_millis(4_000);
-    assert_eq!(choose(&table, &[], early), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], early), PlacementOutcome::Target(id(1)));
 }
 
 /// Guards against responses from weights that operators replaced. Just before the staleness bound
@@ -77,13 +77,13 @@
     let now = Instant::now();
     let mut table = table(&[1], now);
     let (target, model) = (id(1), model());
-    assert_eq!(table.leave_by(&target, &model), None);
+    assert_eq!(table.start_deadline(&target, &model), None);
     for (version, later) in [(2, 0), (3, 4)] {
-        let named = NamedVersion { model: model.clone(), version, age_millis: 0 };
-        table.note_version(&named, VERSION_LIMIT, now + Duration::from_secs(later));
+        let named = PublishedVersion { model: model.clone(), version, age_millis: 0 };
+        table.apply_version(&named, VERSION_LIMIT, now + Duration::from_secs(later));
     }
-    assert_eq!(table.leave_by(&target, &model), Some(now + VERSION_LIMIT));
-    let switched = EngineNews {
+    assert_eq!(table.start_deadline(&target, &model), Some(now + VERSION_LIMIT));
+    let switched = EngineStatus {
         address: address(1),
         incarnation: Incarnation::UNSTATED,
         models: held(2),
@@ -92,15 +92,18 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.note_engine(&switched, now);
-    assert_eq!(table.leave_by(&target, &model), Some(now + VERSION_LIMIT + Duration::from_secs(4)));
+    table.apply_engine(&switched, now);
+    assert_eq!(
+        table.start_deadline(&target, &model),
+        Some(now + VERSION_LIMIT + Duration::from_secs(4))
+    );
 }
 
 #[actix_rt::test]
 async fn a_report_of_an_agent_overrides_an_older_announcement() {
     let now = Instant::now();
     let mut table = table(&[1], now);
-    let fresh = EngineNews {
+    let fresh = EngineStatus {
         address: address(1),
         incarnation: Incarnation::UNSTATED,
         models: vec![],
@@ -110,21 +113,27 @@
         age_millis: 0,
     };
     let at = now + Duration::from_millis(10);
-    table.note_engine(&fresh, at);
-    assert_eq!(choose(&table, &[], at), Choice::NoTarget, "the engine restarted without weights");
+    table.apply_engine(&fresh, at);
+    assert_eq!(
+        choose(&table, &[], at),
+        PlacementOutcome::NoTarget,
+        "the engine restarted without weights"
+    );
     let mut older_record = news(record(1, 2, TargetState::Ready));
     older_record.age_millis = 5_000;
-    table.note_target(0, &older_record, at);
-    assert_eq!(choose(&table, &[], at), Choice::NoTarget);
+    table.apply_target(0, &older_record, at);
+    assert_eq!(choose(&table, &[], at), PlacementOutcome::NoTarget);
 }
 
 #[test]
 fn switch_turns_are_spread_over_the_time_before_the_bound() {
-    let timing = SwitchTiming { bound: Duration::from_secs(8), reserve: Duration::from_secs(2) };
+    let timing =
+        SwitchTiming { staleness_bound: Duration::from_secs(8), reserve: Duration::from_secs(2) };
     let schedule = SwitchSchedule::new(timing);
     for ready in [0, 3, 5] {
         let ready = Duration::from_secs(ready);
-        let turns: Vec<Duration> = (0..6).map(|rank| schedule.turn(ready, rank, 6)).collect();
+        let turns: Vec<Duration> =
+            (0..6).map(|rank| schedule.switch_offset(ready, rank, 6)).collect();
         assert_eq!(turns[0], ready);
         let step = (Duration::from_secs(6) - ready) / 6;
         let even =
@@ -133,7 +142,7 @@
         assert!(turns[5] < Duration::from_secs(6));
     }
     let late = Duration::from_secs(7);
-    assert_eq!(schedule.turn(late, 5, 6), late, "too late to wait");
+    assert_eq!(schedule.switch_offset(late, 5, 6), late, "too late to wait");
 }
 
 /// Guards against responses from weights that operators replaced long ago. The link of one target
@@ -145,19 +154,19 @@
     let start = Instant::now();
     let millis = Duration::from_millis;
     let mut table = table(&[1, 2, 3, 4], start);
-    let named = NamedVersion { model: model(), version: 2, age_millis: 0 };
-    table.note_version(&named, VERSION_LIMIT, start);
+    let named = PublishedVersion { model: model(), version: 2, age_millis: 0 };
+    table.apply_version(&named, VERSION_LIMIT, start);
     for host in 1..=4 {
-        table.begin(&id(host), start);
-        table.note_sent(&id(host), start);
+        table.start_attempt(&id(host), start);
+        table.record_sent(&id(host), start);
         let took = if host == 1 { millis(1_300) } else { millis(150) };
-        table.note_first_byte(&id(host), start, start + took);
-        table.end(&id(host), AttemptOutcome::Answered, start + took);
+        table.record_first_byte(&id(host), start, start + took);
+        table.finish_attempt(&id(host), AttemptOutcome::Answered, start + took);
     }
-    table.begin(&id(2), start + millis(1_400));
-    table.end(&id(2), AttemptOutcome::Unreachable, start + millis(2_400));
+    table.start_attempt(&id(2), start + millis(1_400));
+    table.finish_attempt(&id(2), AttemptOutcome::Unreachable, start + millis(2_400));
     // The agent beside target 3 reports that its link is slow.
-    let slow_link = EngineNews {
+    let slow_link = EngineStatus {
         address: address(3),
         incarnation: Incarnation::UNSTATED,
         models: held(1),
@@ -166,21 +175,21 @@
         link_delay_millis: 1_000,
         age_millis: 0,
     };
-    table.note_engine(&slow_link, start + millis(2_500));
-    table.note_engine(&EngineNews { link_delay_millis: 0, ..slow_link }, start + millis(2_600));
+    table.apply_engine(&slow_link, start + millis(2_500));
+    table.apply_engine(&EngineStatus { link_delay_millis: 0, ..slow_link }, start + millis(2_600));
     // No requests for more than three seconds: all measurements are old.
     let before = start + VERSION_LIMIT - millis(1_200);
     for _ in 0..40 {
         let choice = choose(&table, &[], before);
-        assert_eq!(choice, Choice::Target(id(4)));
+        assert_eq!(choice, PlacementOutcome::Target(id(4)));
     }
 }
 
-fn older_view() -> OlderVersionView {
-    OlderVersionView {
-        since_named: Duration::from_millis(6_500),
-        since_newest: Duration::from_millis(4_500),
-        newest_whole_in: None,
+fn older_state() -> OlderVersionState {
+    OlderVersionState {
+        since_published: Duration::from_millis(6_500),
+        since_newest_published: Duration::from_millis(4_500),
+        newest_complete_in: None,
         serves: true,
         rank: 0,
         count: 24,
@@ -194,31 +203,33 @@
 #[test]
 fn a_superseded_version_is_loaded_where_the_newest_is_late() {
     let bound = Duration::from_secs(8);
-    let timing = SwitchTiming { bound, reserve: Duration::from_millis(1_600) };
-    let rule = OlderVersionUse::new(timing);
+    let timing = SwitchTiming { staleness_bound: bound, reserve: Duration::from_millis(1_600) };
+    let rule = OlderVersionPolicy::new(timing);
     let millis = Duration::from_millis;
-    assert!(rule.is_worth(&older_view()));
+    assert!(rule.should_switch(&older_state()));
     // Engines load it one after the other, so that not all are out of service at once, and all
     // before the bound.
-    let at = |since_named, rank| OlderVersionView { since_named, rank, ..older_view() };
-    assert!(!rule.is_worth(&at(millis(4_000), 0)), "the newest may still arrive");
-    let loading_count =
-        |since_named| (0..24).filter(|rank| rule.is_worth(&at(since_named, *rank))).count();
+    let at = |since_published, rank| OlderVersionState { since_published, rank, ..older_state() };
+    assert!(!rule.should_switch(&at(millis(4_000), 0)), "the newest may still arrive");
+    let loading_count = |since_published| {
+        (0..24).filter(|rank| rule.should_switch(&at(since_published, *rank))).count()
+    };
     let counts: Vec<usize> = (44..=64).map(|tenth| loading_count(millis(tenth * 100))).collect();
     assert!(counts.windows(2).all(|pair| pair[1] - pair[0] <= 2), "{counts:?}");
     assert_eq!(counts.last(), Some(&24));
     // The newest version will be complete in time.
-    let newest_whole_in = Some(millis(200));
-    assert!(!rule.is_worth(&OlderVersionView { newest_whole_in, ..older_view() }));
-    let newest_whole_in = Some(millis(2_500));
-    assert!(rule.is_worth(&OlderVersionView { newest_whole_in, ..older_view() }));
+    let newest_complete_in = Some(millis(200));
+    assert!(!rule.should_switch(&OlderVersionState { newest_complete_in, ..older_state() }));
+    let newest_complete_in = Some(millis(2_500));
+    assert!(rule.should_switch(&OlderVersionState { newest_complete_in, ..older_state() }));
     // The superseded version would be in use too briefly: the newest one's own bound is near.
-    let since_newest = millis(6_000);
-    assert!(!rule.is_worth(&OlderVersionView { since_newest, ..older_view() }));
+    let since_newest_published = millis(6_000);
+    assert!(!rule.should_switch(&OlderVersionState { since_newest_published, ..older_state() }));
     // An engine that is not serving does not wait for its turn.
-    let early_view = OlderVersionView { since_named: millis(2_500), rank: 23, ..older_view() };
-    assert!(rule.is_worth(&OlderVersionView { serves: false, ..early_view }));
-    assert!(!rule.is_worth(&early_view));
+    let early_state =
+        OlderVersionState { since_published: millis(2_500), rank: 23, ..older_state() };
+    assert!(rule.should_switch(&OlderVersionState { serves: false, ..early_state }));
+    assert!(!rule.should_switch(&early_state));
 }
 
 /// Guards against requests that wait in vain. All targets lack the published weights. Requests may
@@ -228,8 +239,8 @@
     let now = Instant::now();
     let later = now + Duration::from_secs(4);
     let mut table = table(&[1, 2], now);
-    assert!(table.is_expected(&service(), now), "the entry has just started");
-    let lacking = |host, stalled| EngineNews {
+    assert!(table.expects_capacity(&service(), now), "the entry has just started");
+    let lacking = |host, stalled| EngineStatus {
         address: address(host),
         incarnation: Incarnation::UNSTATED,
         models: Vec::new(),
@@ -238,12 +249,12 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.note_engine(&lacking(1, true), later);
-    table.note_engine(&lacking(2, false), later);
-    assert_eq!(choose(&table, &[], later), Choice::NoTarget);
-    assert!(table.is_expected(&service(), later));
-    table.note_engine(&lacking(2, true), later);
-    assert!(!table.is_expected(&service(), later));
+    table.apply_engine(&lacking(1, true), later);
+    table.apply_engine(&lacking(2, false), later);
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::NoTarget);
+    assert!(table.expects_capacity(&service(), later));
+    table.apply_engine(&lacking(2, true), later);
+    assert!(!table.expects_capacity(&service(), later));
 }
 
 /// Guards against engines that load a superseded version, and so are out of service twice, although
