--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -1,4 +1,4 @@
-//! State that the tasks of one agent share. All on one thread.
+//! State shared by the tasks of one agent, all of which run on one thread.
 
 use crate::{
     chunks::ChunkStore,
@@ -27,14 +27,14 @@
     time::Instant,
 };
 
-/// Time for one call to the engine on the own machine.
-const ENGINE_CALL_LIMIT: Duration = Duration::from_millis(1_500);
-/// Time for the answer to an order, which the engine gives before it loads anything. While it is
-/// awaited nobody is served there, and a further copy does no harm.
-const ORDER_LIMIT: Duration = Duration::from_millis(400);
-/// Steps in which entries are told of a slow link.
+/// Timeout of a call to the engine, which runs on the same machine.
+const ENGINE_CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout of the reply to an order, which the engine sends before it loads anything. While the
+/// agent waits, the engine serves no requests, and resending the order does no harm.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
+/// The link delay reported to entries is rounded up to a multiple of this.
 const LINK_DELAY_STEP: Duration = Duration::from_millis(500);
-/// Largest answer of an engine or the origin.
+/// Largest response accepted from an engine or the origin.
 pub(crate) const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Counters of an agent.
@@ -76,25 +76,26 @@
     }
 }
 
-/// A plan and when the version in it was named, as far as this agent knows.
+/// A plan received from control, with local times.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedPlan {
     pub(crate) plan: WeightsPlan,
-    /// Agents to exchange chunks with, in the order of their targets' addresses.
+    /// Agents to exchange chunks with, ordered by the addresses of their targets.
     pub(crate) peers: Vec<SwarmPeer>,
+    /// When the version was published, as far as this agent knows.
     pub(crate) published_at: Instant,
-    /// When the oldest version was named that the engine has not reached yet: its bound comes
-    /// first, and any newer version keeps it.
+    /// When the oldest version was published that the engine has not loaded yet. The staleness
+    /// bound counts from then, because that version's ends first; a newer version does not reset it.
     pub(crate) staleness_start: Instant,
 }
 
 impl ReceivedPlan {
-    /// What to bring to the engine.
+    /// Model and version that the engine is to load.
     pub(crate) fn key(&self) -> WeightsKey {
         WeightsKey { model: self.plan.model.clone(), version: self.version() }
     }
 
-    /// Version to bring to the engine: before any is named, the first.
+    /// Version that the engine is to load: version 1 until one is published.
     pub(crate) fn version(&self) -> u64 {
         self.plan.version.as_ref().map_or(1, |named| named.version)
     }
@@ -105,53 +106,57 @@
     pub(crate) dialect: Rc<dyn EngineDialect>,
     pub(crate) metrics: StagerMetrics,
     pub(crate) plan: watch::Sender<Option<ReceivedPlan>>,
-    /// What the engine last said, and when.
+    /// The engine's report from the last poll; `None` if that poll failed.
     pub(crate) report: watch::Sender<Option<EngineReport>>,
+    /// When the last successful poll was sent.
     pub(crate) report_at: Cell<Instant>,
-    /// What the engine held when it last held anything, and in which of its runs.
+    /// The model that the engine last reported as loaded, and the incarnation that reported it.
     pub(crate) last_loaded: RefCell<Option<(Incarnation, HeldModel)>>,
-    /// Whether an order is about to be given or being carried out.
+    /// Whether an order is about to be sent or is being executed.
     pub(crate) order_in_progress: Cell<bool>,
-    /// Wakes the task that tells control of the engine.
+    /// Wakes the task that reports the engine's status to control.
     pub(crate) report_due: Notify,
-    /// The control member that is followed at present.
+    /// The control member that last replied to this agent.
     pub(crate) control_member: Cell<Option<SocketAddr>>,
-    /// Whether the engine is looked at often.
+    /// Whether the engine is polled at the short interval.
     pub(crate) polls_fast: Cell<bool>,
     pub(crate) chunks: RefCell<ChunkStore>,
-    /// Grows with each version whose digests become known here; other agents wait on it.
+    /// Incremented when the digests of a version become known here. Other agents' requests for
+    /// digests wait on it.
     pub(crate) digests_added: watch::Sender<u64>,
-    /// The version before the newest, while it may still be of use.
+    /// The superseded version, while the engine may still load it.
     pub(crate) older: RefCell<Option<OlderVersion>>,
-    /// The last overtaken version that the engine took.
+    /// The last superseded version that the engine loaded.
     pub(crate) superseded_loaded: RefCell<Option<OlderVersion>>,
-    /// Held while the engine is brought to a version, so that orders do not overlap.
+    /// Held while chunks are staged and an order is executed, so that orders do not overlap.
     pub(crate) switching: Mutex<()>,
-    /// Outlives whoever gave the order: a newer version may interrupt that.
+    /// The outstanding order. It is kept here because a newer version may cancel the task that
+    /// sent it.
     pub(crate) orders: RefCell<OrderLedger>,
-    /// Tokens of this agent's orders.
+    /// Fencing tokens of this agent's orders.
     pub(crate) fence: RefCell<OrderFence>,
-    /// The last version whose content control has noted at this agent's word.
+    /// The last version whose content digest control has recorded on this agent's request.
     pub(crate) recorded_content: RefCell<Option<WeightsKey>>,
-    /// Whether the ledger holds what the agent before this one may have left open.
+    /// Whether `orders` holds the order that the previous agent process may have left outstanding,
+    /// or there is none.
     pub(crate) previous_orders_known: Cell<bool>,
     pub(crate) started_at: Instant,
-    /// Whether the next digests must come from the origin, since the last ones were wrong.
+    /// Whether the next digest list must come from the origin, because the last one was wrong.
     pub(crate) requires_origin_digests: Cell<bool>,
-    /// Whether no chunk comes any more of the version that the engine is to have.
+    /// Whether chunks of the version that the engine is to load have stopped arriving.
     stalled: Cell<bool>,
-    /// Whether the own link is narrower than it was said to be, by questions to other agents.
+    /// Round-trip times to other agents, from which a slow link of this instance is detected.
     pub(crate) path: RefCell<PathProbe>,
-    /// How long entries were told that requests are on their way over it.
-    told_delay: Cell<Duration>,
-    /// Whether the origin did not answer when this agent last fetched from it.
+    /// Delay of this instance's link as last reported to entries.
+    reported_delay: Cell<Duration>,
+    /// Whether the origin did not reply when this agent last fetched a chunk from it.
     pub(crate) origin_unreachable: Cell<bool>,
-    /// Bounds what is fetched from other agents, so that live requests get through.
+    /// Limits the parts in flight from other agents, so that live requests are not delayed.
     pub(crate) downloads: PartDownloads,
-    /// The same for what is given to them.
+    /// Limits the parts in flight to other agents, for the same reason.
     pub(crate) uploads: PartUploads,
-    engine: Mutex<KeptClient>,
-    watcher: Mutex<KeptClient>,
+    staging_client: Mutex<KeptClient>,
+    polling_client: Mutex<KeptClient>,
 }
 
 impl StagerShared {
@@ -184,46 +189,46 @@
             requires_origin_digests: Cell::new(false),
             stalled: Cell::new(false),
             path: RefCell::default(),
-            told_delay: Cell::new(Duration::ZERO),
+            reported_delay: Cell::new(Duration::ZERO),
             origin_unreachable: Cell::new(false),
             downloads: PartDownloads::new(options.upload_bytes_per_second),
             uploads: PartUploads::new(options.upload_bytes_per_second),
-            engine: Mutex::new(KeptClient::new(options.target)),
-            watcher: Mutex::new(KeptClient::new(options.target)),
+            staging_client: Mutex::new(KeptClient::new(options.target)),
+            polling_client: Mutex::new(KeptClient::new(options.target)),
             options,
         }
     }
 
-    /// Calls the engine.
+    /// Calls the engine on the connection for staging and orders.
     pub(crate) async fn call_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
         self.lock_engine().await.call(call).await
     }
 
-    /// Gives the engine an order.
     pub(crate) async fn send_order(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
-        self.engine.lock().await.call(&request(call, ORDER_LIMIT)).await
+        self.staging_client.lock().await.call(&request(call, ORDER_TIMEOUT)).await
     }
 
-    /// Keeps the connection for staging and orders from everybody else.
+    /// Reserves the connection for staging and orders until the returned value is dropped.
     pub(crate) async fn lock_engine(&self) -> EngineConnection<'_> {
-        EngineConnection { client: self.engine.lock().await }
+        EngineConnection { client: self.staging_client.lock().await }
     }
 
-    /// Calls the engine on the connection kept for watching it, which staging does not delay.
+    /// Calls the engine on a connection of its own, so that staging does not delay the poll.
     pub(crate) async fn poll_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
-        self.watcher.lock().await.call(&request(call, ENGINE_CALL_LIMIT)).await
+        self.polling_client.lock().await.call(&request(call, ENGINE_CALL_TIMEOUT)).await
     }
 
-    /// Lets entries know whether there is an end in sight of the engine's want of weights.
+    /// Sets whether chunks of the wanted version have stopped arriving, and reports a change, so
+    /// that entries know whether the engine is about to get its weights.
     pub(crate) fn set_stalled(&self, stalled: bool) {
         if self.stalled.replace(stalled) != stalled {
-            tracing::info!(stalled, "chunks of the wanted version");
+            tracing::info!(stalled, "the wanted version's chunks stopped or resumed arriving");
             self.report_due.notify_one();
         }
     }
 
-    /// Lets less be on its way and gives less to others over a link that is narrower than it was said
-    /// to be, and lets entries know, in steps, so that they are told seldom.
+    /// Reduces downloads and uploads while this instance's link is slow, and reports the link's delay
+    /// to entries, rounded up to [`LINK_DELAY_STEP`] so that it seldom changes.
     pub(crate) fn adapt_to_link(&self) {
         let now = Instant::now();
         self.downloads.look(now);
@@ -232,14 +237,14 @@
         let delay = self.downloads.delay(now).max(self.path.borrow().delay(now));
         let steps = delay.unwrap_or_default().as_secs_f64() / LINK_DELAY_STEP.as_secs_f64();
         let rounded = LINK_DELAY_STEP.mul_f64(steps.ceil());
-        if self.told_delay.replace(rounded) != rounded {
+        if self.reported_delay.replace(rounded) != rounded {
             tracing::info!(delay_millis = rounded.as_millis() as u64, "the own link's delay");
             self.report_due.notify_one();
         }
     }
 
-    /// Tells entries for as long as the guard lives that the engine takes no requests, and looks at
-    /// the engine often.
+    /// Until the guard is dropped, reports to entries that the engine accepts no requests and polls
+    /// the engine at the short interval.
     pub(crate) fn begin_order(&self) -> OrderGuard<'_> {
         self.order_in_progress.set(true);
         self.polls_fast.set(true);
@@ -247,7 +252,7 @@
         OrderGuard { shared: self }
     }
 
-    /// What to tell control of the engine.
+    /// Status of the engine to report to control; `None` if the last poll failed.
     pub(crate) fn engine_status(&self) -> Option<EngineNews> {
         let report = self.report.borrow();
         let report = report.as_ref()?;
@@ -257,36 +262,35 @@
             models: report.models.clone(),
             loading: report.busy || self.order_in_progress.get(),
             stalled: self.stalled.get(),
-            link_delay_millis: self.told_delay.get().as_millis() as u64,
+            link_delay_millis: self.reported_delay.get().as_millis() as u64,
             age_millis: self.report_at.get().elapsed().as_millis() as u64,
         })
     }
 }
 
-/// Several calls to the engine in a row.
+/// Exclusive use of the connection for staging and orders.
 pub(crate) struct EngineConnection<'a> {
     client: MutexGuard<'a, KeptClient>,
 }
 
 impl EngineConnection<'_> {
-    /// Calls the engine.
     pub(crate) async fn call(&mut self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
-        self.client.call(&request(call, ENGINE_CALL_LIMIT)).await
+        self.client.call(&request(call, ENGINE_CALL_TIMEOUT)).await
     }
 
-    /// Gives an order to the run of the engine that answered the call before.
+    /// Sends an order on the connection that the last call left open; fails if there is none. The
+    /// order can only reach the incarnation of the engine that answered that call.
     pub(crate) async fn order_on_same_connection(
         &mut self,
         call: &EngineCall,
     ) -> Result<CallReply, ExchangeError> {
-        self.client.call_kept(&request(call, ORDER_LIMIT)).await
+        self.client.call_kept(&request(call, ORDER_TIMEOUT)).await
     }
 }
 
-/// Failure guarded: a newer version is named while an engine is about to be ordered, and the older
-/// one's switch is given up midway. Without the guard's end entries would be told until the newer
-/// one's switch that the engine takes no requests; it shows as an engine that stands empty for
-/// seconds.
+/// Ends the report that the engine accepts no requests also when the switch is cancelled midway,
+/// because a newer version is published while an order is about to be sent. Otherwise entries would
+/// send the engine nothing until the newer version's switch, and it would be idle for seconds.
 pub(crate) struct OrderGuard<'a> {
     shared: &'a StagerShared,
 }
@@ -299,12 +303,13 @@
     }
 }
 
-/// Time of day; an agent whose clock is before the epoch raises its tokens as it is refused.
+/// Time since the Unix epoch, zero if the clock is set before it. The agent then raises its fencing
+/// tokens when the engine rejects them.
 fn since_epoch() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// A call as the HTTP client takes it.
+/// Converts an engine call to a request of the HTTP client.
 pub(crate) fn request(call: &EngineCall, limit: Duration) -> CallRequest<'_> {
     CallRequest {
         method: call.method,
