--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -1,4 +1,4 @@
-//! Chunks at hand, and giving them to other agents.
+//! Storage of verified chunks, and the service that uploads them to other agents.
 
 use crate::{digests::WeightDigests, order_ledger::WholeWeights, shared::StagerShared};
 use bytes::Bytes;
@@ -11,17 +11,17 @@
 use tarpc::context::Context;
 use tokio::{sync::watch, time::Instant};
 
-/// Longest wait for news of chunks that a peer may ask for.
+/// Longest time that a peer's request may wait for new chunks or digests.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// How long all chunks have been here before an agent whose engine is not up yet may take the list of
-/// digests from here. Engines that are started together come up within about three seconds.
+/// How long a version must have been complete here before its digests are given to an agent whose
+/// engine is not up yet. Engines that start together come up within about three seconds.
 const SETTLED_AFTER: Duration = Duration::from_secs(4);
-/// How often it is looked whether that time is over.
-const SETTLED_INTERVAL: Duration = Duration::from_millis(100);
+/// How often the end of that time is checked.
+const SETTLED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Versions whose digests, some KiB each, are kept without their chunks: those that may lie staged
-/// beside an agent that is down while versions follow each other quickly.
+/// Number of versions whose digests, some KiB each, are kept without their chunks. Any of them may be
+/// staged at an engine whose agent is down while versions are published in quick succession.
 const MAX_OTHER_DIGESTS: usize = 16;
 
 /// Verified chunks of one version.
@@ -32,9 +32,9 @@
     chunks: Vec<Option<Bytes>>,
     held: ChunkSet,
     pace: ChunkPace,
-    /// When the last chunk of all was here.
-    whole_at: Option<Instant>,
-    /// How many chunks are held; peers wait on it.
+    /// When the last missing chunk arrived.
+    completed_at: Option<Instant>,
+    /// Number of chunks held; requests of peers wait on it.
     count: watch::Sender<u32>,
 }
 
@@ -49,37 +49,37 @@
             chunks,
             held,
             pace: ChunkPace::new(0, Instant::now()),
-            whole_at: None,
+            completed_at: None,
             count: watch::Sender::new(0),
         }
     }
 
-    /// Keeps a chunk that the engine has staged already; it says nothing of how fast they come.
+    /// Adds a chunk that was staged at the engine already. The pace of arrivals does not count it.
     pub(crate) fn insert_staged(&mut self, index: u32, bytes: Bytes) {
         self.insert(index, bytes);
         self.pace = ChunkPace::new(self.held.count(), Instant::now());
     }
 
-    /// How long it takes until all chunks are here, if they go on coming as they have; `None` if
-    /// they have stopped or none has come.
+    /// Estimated time until the last chunk arrives, at the pace so far; `None` if chunks have stopped
+    /// arriving or none has arrived.
     pub(crate) fn time_to_complete(&self, now: Instant) -> Option<Duration> {
         self.pace.expected_whole(self.digests.count(), now)
     }
 
-    /// Keeps a chunk that was verified.
+    /// Adds a verified chunk.
     pub(crate) fn insert(&mut self, index: u32, bytes: Bytes) {
         if self.held.insert(index) {
             let now = Instant::now();
             self.chunks[index as usize] = Some(bytes);
             self.pace.note(self.held.count(), now);
             if self.held.is_full() {
-                self.whole_at = Some(now);
+                self.completed_at = Some(now);
             }
             self.count.send_modify(|count| *count += 1);
         }
     }
 
-    /// All chunks, if they are here.
+    /// All chunks, if none is missing.
     pub(crate) fn complete(&self) -> Option<WholeWeights> {
         let chunks = self.chunks.iter().cloned().collect::<Option<Vec<Bytes>>>()?;
         Some(WholeWeights { key: self.key.clone(), digests: self.digests.clone(), chunks })
@@ -89,10 +89,10 @@
         self.chunks.get(index as usize).cloned().flatten()
     }
 
-    /// Whether all chunks have been here for some seconds.
+    /// Whether all chunks have been here for [`SETTLED_AFTER`].
     pub(crate) fn is_settled(&self, now: Instant) -> bool {
-        let whole_at = self.whole_at;
-        whole_at.is_some_and(|at| now.saturating_duration_since(at) >= SETTLED_AFTER)
+        let completed_at = self.completed_at;
+        completed_at.is_some_and(|at| now.saturating_duration_since(at) >= SETTLED_AFTER)
     }
 
     pub(crate) fn chunk_set(&self) -> &ChunkSet {
@@ -100,50 +100,50 @@
     }
 }
 
-/// The version being brought to the engine, and one that it has overtaken.
+/// Chunks of the version that the engine is to load, and of a superseded one that is set aside.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkStore {
-    weights: Option<VersionChunks>,
-    older: Option<VersionChunks>,
-    /// Digests of versions whose chunks are not kept, the latest last. Agents that start again need
-    /// them to find out what lies staged.
+    current: Option<VersionChunks>,
+    superseded: Option<VersionChunks>,
+    /// Digests of versions whose chunks are not kept, the last added at the end. Agents that restart
+    /// need them to identify what is staged at their engines.
     other_digests: VecDeque<Rc<WeightDigests>>,
 }
 
 impl ChunkStore {
     pub(crate) fn get(&self, key: &WeightsKey) -> Option<&VersionChunks> {
-        self.weights.iter().chain(&self.older).find(|weights| weights.key == *key)
+        self.current.iter().chain(&self.superseded).find(|weights| weights.key == *key)
     }
 
     pub(crate) fn get_mut(&mut self, key: &WeightsKey) -> Option<&mut VersionChunks> {
-        self.weights.iter_mut().chain(&mut self.older).find(|weights| weights.key == *key)
+        self.current.iter_mut().chain(&mut self.superseded).find(|weights| weights.key == *key)
     }
 
-    /// Digests of a version, also of one whose chunks are not kept any more.
+    /// Digests of a version, even if its chunks are not kept any more.
     pub(crate) fn digests(&self, key: &WeightsKey) -> Option<Rc<WeightDigests>> {
         let held = self.get(key).map(|weights| &weights.digests);
         let known = || self.other_digests.iter().find(|digests| digests.key() == *key);
         held.or_else(known).cloned()
     }
 
-    /// Digests of all versions of a model of whose chunks at least one has the digest that stands in
-    /// its place.
+    /// Digests of all versions of a model that have at least one of these digests at the same index.
     pub(crate) fn digests_matching(
         &self,
         model: &ModelName,
         digests: &[[u8; 32]],
     ) -> Vec<Rc<WeightDigests>> {
-        let held = self.weights.iter().chain(&self.older).map(|weights| &weights.digests);
+        let held = self.current.iter().chain(&self.superseded).map(|weights| &weights.digests);
         let all = held.chain(&self.other_digests);
         all.filter(|known| known.model == *model && known.count_matching(digests) > 0)
             .cloned()
             .collect()
     }
 
-    /// Keeps the digests of a version whose chunks are not kept, in place of the oldest.
+    /// Keeps the digests of a version whose chunks are not kept. Those kept longest are dropped beyond
+    /// [`MAX_OTHER_DIGESTS`].
     pub(crate) fn keep_digests(&mut self, digests: &Rc<WeightDigests>) {
         let is_known = |held: &VersionChunks| held.key == digests.key();
-        if self.weights.iter().chain(&self.older).any(is_known) {
+        if self.current.iter().chain(&self.superseded).any(is_known) {
             return;
         }
         self.other_digests.retain(|kept| kept.key() != digests.key());
@@ -153,39 +153,39 @@
         }
     }
 
-    /// Begins with the version that is to be brought to the engine.
+    /// Makes this the version that the engine is to load.
     pub(crate) fn start_version(&mut self, weights: VersionChunks) {
-        let before = self.weights.replace(weights);
-        self.retire(before);
+        let previous = self.current.replace(weights);
+        self.keep_digests_of(previous);
     }
 
-    /// Forgets the version that is to be brought to the engine, and its digests.
+    /// Drops the version that the engine is to load, and its digests.
     pub(crate) fn discard_current(&mut self) {
-        self.weights = None;
+        self.current = None;
     }
 
-    /// Sets a version aside that is overtaken, in place of one set aside before.
+    /// Sets the version `key` aside, if the engine was to load it, in place of the one set aside before.
     pub(crate) fn set_aside(&mut self, key: &WeightsKey) {
-        if self.weights.as_ref().is_some_and(|weights| weights.key == *key) {
-            let before = std::mem::replace(&mut self.older, self.weights.take());
-            self.retire(before);
+        if self.current.as_ref().is_some_and(|weights| weights.key == *key) {
+            let previous = std::mem::replace(&mut self.superseded, self.current.take());
+            self.keep_digests_of(previous);
         }
     }
 
-    /// Forgets the chunks of the version set aside.
+    /// Drops the chunks of the version set aside, but keeps its digests.
     pub(crate) fn drop_superseded(&mut self) {
-        let before = self.older.take();
-        self.retire(before);
+        let previous = self.superseded.take();
+        self.keep_digests_of(previous);
     }
 
-    fn retire(&mut self, weights: Option<VersionChunks>) {
+    fn keep_digests_of(&mut self, weights: Option<VersionChunks>) {
         if let Some(weights) = weights {
             self.keep_digests(&weights.digests);
         }
     }
 }
 
-/// Answers other agents.
+/// Serves chunks and digests to other agents.
 #[derive(Clone)]
 pub(crate) struct ChunkHandler {
     shared: Rc<StagerShared>,
@@ -208,7 +208,7 @@
         let mut count = self.shared.chunks.borrow().get(&key)?.count.subscribe();
         let more = count.wait_for(|count| *count > known);
         let wait = Duration::from_millis(wait_millis).min(MAX_WAIT);
-        // Either more chunks came or the wait is over; both are answered with what there is.
+        // The reply lists the chunks held by then, whether more arrived or the wait timed out.
         let _ = tokio::time::timeout(wait, more).await;
         let chunks = self.shared.chunks.borrow();
         let origin_lost = self.shared.origin_unreachable.get();
@@ -222,15 +222,15 @@
         settled: bool,
         wait_millis: u64,
     ) -> Option<Vec<[u8; 32]>> {
-        let mut begun = self.shared.digests_added.subscribe();
+        let mut digests_added = self.shared.digests_added.subscribe();
         let is_ready = |chunks: &ChunkStore| match chunks.get(&key) {
             Some(weights) => !settled || weights.is_settled(Instant::now()),
             None => !settled && chunks.digests(&key).is_some(),
         };
         let ready = async {
             while !is_ready(&self.shared.chunks.borrow()) {
-                // News of the digests wakes at once; the rest is a matter of seconds.
-                tokio::time::timeout(SETTLED_INTERVAL, begun.changed()).await.ok();
+                // New digests end the wait at once. Nothing signals that a version has settled.
+                tokio::time::timeout(SETTLED_CHECK_INTERVAL, digests_added.changed()).await.ok();
             }
         };
         let wait = Duration::from_millis(wait_millis).min(MAX_WAIT);
@@ -245,8 +245,9 @@
         model: ModelName,
         digests: Vec<[u8; 32]>,
     ) -> Vec<VersionDigests> {
-        let like = self.shared.chunks.borrow().digests_matching(&model, &digests);
-        like.iter()
+        let matching = self.shared.chunks.borrow().digests_matching(&model, &digests);
+        matching
+            .iter()
             .map(|known| VersionDigests { version: known.version, digests: known.chunks.clone() })
             .collect()
     }
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -97,7 +97,7 @@
 
     /// Version that the engine is to load: version 1 until one is published.
     pub(crate) fn version(&self) -> u64 {
-        self.plan.version.as_ref().map_or(1, |named| named.version)
+        self.plan.version.as_ref().map_or(1, |published| published.version)
     }
 }
 
