--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -256,7 +256,7 @@
 
     async fn part(self, _: Context, call: PartCall) -> Option<PartReply> {
         if let Some(receipt) = call.receipt {
-            self.shared.uploads.note_received(receipt);
+            self.shared.uploads.record_receipt(receipt);
         }
         let chunk = self.shared.chunks.borrow().get(&call.key)?.chunk(call.chunk)?;
         let length = chunk.len();
@@ -264,7 +264,7 @@
         let wanted = usize::try_from(call.length).unwrap_or(length);
         let bytes = chunk.slice(start..start.saturating_add(wanted).min(length));
         let began = Instant::now();
-        let receipt = self.shared.uploads.turn(call.is_near, bytes.len()).await;
+        let receipt = self.shared.uploads.acquire(call.is_near, bytes.len()).await;
         Some(PartReply {
             bytes,
             chunk_bytes: length as u64,
@@ -274,6 +274,6 @@
     }
 
     async fn received(self, _: Context, receipt: PartReceipt) {
-        self.shared.uploads.note_received(receipt);
+        self.shared.uploads.record_receipt(receipt);
     }
 }
--- a/crates/stager/src/downloads.rs
+++ b/crates/stager/src/downloads.rs
@@ -1,4 +1,4 @@
-//! Fetching chunks from other agents in small parts.
+//! Downloads chunks from other agents in small parts, few of them in flight at a time.
 
 use bytes::{Bytes, BytesMut};
 use egretseam_rpc::{CallError, ChunkLink, PartCall, PartReceipt, PartReply, WeightsKey};
@@ -6,108 +6,112 @@
 use std::{cell::RefCell, rc::Rc, time::Duration};
 use tokio::{sync::Notify, time::Instant};
 
-/// What a part takes besides its time on a usual link.
+/// Expected time of a part beyond its transmission at the link's configured rate.
 const ROUND_TRIP: Duration = Duration::from_millis(5);
 
-/// A chunk from another agent.
+/// A chunk downloaded from another agent.
 #[derive(Debug)]
 pub(crate) struct PeerChunk {
     pub(crate) bytes: Bytes,
-    /// How long its parts waited for their turns on the other agent's link.
+    /// Total time that its parts waited at the other agent before they were sent.
     pub(crate) queued: Duration,
 }
 
-/// A chunk and where it comes from.
+/// A chunk to download and the agent that has it.
 pub(crate) struct ChunkSource<'a> {
     pub(crate) link: &'a Rc<ChunkLink>,
-    /// Whether the other agent is in the own availability zone.
-    pub(crate) is_near: bool,
+    /// Whether the other agent is in the same availability zone.
+    pub(crate) is_same_zone: bool,
     pub(crate) key: &'a WeightsKey,
     pub(crate) chunk: u32,
 }
 
 impl ChunkSource<'_> {
-    /// Lets the other agent know that a part has arrived. Where that fails it gives up waiting.
+    /// Tells the other agent that a part has arrived. If that fails, the other agent's wait for the
+    /// receipt times out.
     fn acknowledge(&self, receipt: PartReceipt) {
         let link = self.link.clone();
         actix_rt::spawn(async move {
             if let Err(error) = link.received(receipt).await {
-                tracing::debug!(%error, "a receipt was not delivered");
+                tracing::debug!(%error, "the receipt of a part was not delivered");
             }
         });
     }
 }
 
-/// Why a chunk did not come.
+/// Why a chunk could not be downloaded.
 #[derive(Debug)]
 pub(crate) enum PartError {
-    /// The other agent does not have it.
+    /// The other agent does not have the chunk.
     Absent,
-    /// No connection, a broken one, or no answer in time.
+    /// No connection, a broken one, or no reply in time.
     Call(CallError),
 }
 
-/// Parts that this agent fetches.
+/// Limits the parts in flight to this agent, and detects from their times that its link is slow.
 #[derive(Debug)]
 pub(crate) struct PartDownloads {
-    near: RefCell<TransferWindow>,
-    far: RefCell<TransferWindow>,
-    /// Whether the own link is narrower than it was said to be.
+    same_zone: RefCell<TransferWindow>,
+    cross_zone: RefCell<TransferWindow>,
     link: RefCell<LinkDelay>,
-    freed: Notify,
+    /// Wakes those who wait for room in a window.
+    part_ended: Notify,
 }
 
 impl PartDownloads {
-    /// Nothing is on its way yet over a link of so many bytes a second.
+    /// No parts in flight on a link with a configured rate of `bytes_per_second`.
     pub(crate) fn new(bytes_per_second: u64) -> Self {
         let expected = PART_BYTES as f64 / bytes_per_second.max(1) as f64;
         let expected = Duration::from_secs_f64(expected) + ROUND_TRIP;
         Self {
-            near: RefCell::new(TransferWindow::new(MOST_NEAR_PARTS)),
-            far: RefCell::new(TransferWindow::new(MOST_FAR_PARTS)),
+            same_zone: RefCell::new(TransferWindow::new(MOST_NEAR_PARTS)),
+            cross_zone: RefCell::new(TransferWindow::new(MOST_FAR_PARTS)),
             link: RefCell::new(LinkDelay::new(expected)),
-            freed: Notify::new(),
+            part_ended: Notify::new(),
         }
     }
 
-    /// How many chunks may be fetched at a time: as many as parts may be on their way, and those that
-    /// are held up at other agents besides.
-    pub(crate) fn fetches(&self) -> usize {
-        let (near, far) = (self.near.borrow(), self.far.borrow());
-        near.size() + near.overtaken() + far.overtaken()
+    /// Number of chunks that may be downloaded at a time: the size of the same-zone window, and those
+    /// whose parts are delayed at the other agent.
+    pub(crate) fn max_concurrent_chunks(&self) -> usize {
+        let (same_zone, cross_zone) = (self.same_zone.borrow(), self.cross_zone.borrow());
+        same_zone.size() + same_zone.overtaken() + cross_zone.overtaken()
     }
 
-    /// Looks whether parts are late that are still on their way.
-    pub(crate) fn look(&self, now: Instant) {
-        self.far.borrow_mut().look(now);
-        let mut near = self.near.borrow_mut();
-        near.look(now);
-        if let Some(quiet) = near.quiet(now) {
-            self.link.borrow_mut().note_quiet(quiet, near.under_way(), now);
+    /// Checks for parts in flight that are late, and adapts the windows and the link's delay.
+    pub(crate) fn check_late(&self, now: Instant) {
+        self.cross_zone.borrow_mut().look(now);
+        let mut same_zone = self.same_zone.borrow_mut();
+        same_zone.look(now);
+        if let Some(quiet) = same_zone.quiet(now) {
+            self.link.borrow_mut().note_quiet(quiet, same_zone.under_way(), now);
         }
     }
 
-    fn window(&self, is_near: bool) -> &RefCell<TransferWindow> {
-        if is_near { &self.near } else { &self.far }
+    fn window(&self, is_same_zone: bool) -> &RefCell<TransferWindow> {
+        if is_same_zone { &self.same_zone } else { &self.cross_zone }
     }
 
-    /// How long anything is on its way over the own link, if that is unusual.
+    /// Delay of this instance's link, if the link is slow.
     pub(crate) fn delay(&self, now: Instant) -> Option<Duration> {
         self.link.borrow().delay(now)
     }
 
-    /// Part of the own link's rate that there seems to be.
-    pub(crate) fn share(&self, now: Instant) -> f64 {
+    /// Estimated fraction of the link's configured rate that is available.
+    pub(crate) fn rate_fraction(&self, now: Instant) -> f64 {
         self.link.borrow().share(now)
     }
 
-    /// Fetches a chunk, one part after the other.
-    pub(crate) async fn chunk(&self, source: &ChunkSource<'_>) -> Result<PeerChunk, PartError> {
+    /// Downloads a chunk, one part after the other.
+    pub(crate) async fn download_chunk(
+        &self,
+        source: &ChunkSource<'_>,
+    ) -> Result<PeerChunk, PartError> {
         let mut bytes = BytesMut::new();
         let mut queued = Duration::ZERO;
         let mut receipt = None;
         loop {
-            let part = self.part(source, bytes.len() as u64, receipt).await?;
+            let part = self.download_part(source, bytes.len() as u64, receipt).await?;
             bytes.extend_from_slice(&part.bytes);
             queued += Duration::from_millis(part.queued_millis);
             if part.bytes.is_empty() || bytes.len() as u64 >= part.chunk_bytes {
@@ -118,28 +122,28 @@
         }
     }
 
-    /// The next part of a chunk, after one that has just arrived.
+    /// Downloads the part that starts at byte `start`. `receipt` acknowledges the part before it.
     ///
-    /// Failure guarded: agents wait for room here with receipts of which the givers know nothing, and
-    /// the givers wait for the receipts; all stand still until the receipts are given up. One that
-    /// must wait says first what has arrived.
-    async fn part(
+    /// The receipt goes with the request unless the request must wait for room in the window; then it
+    /// is sent at once. Otherwise agents would wait for room with receipts not yet sent, while the
+    /// senders wait for these receipts, and all would stall until the receipts time out.
+    async fn download_part(
         &self,
         source: &ChunkSource<'_>,
         start: u64,
         mut receipt: Option<PartReceipt>,
     ) -> Result<PartReply, PartError> {
-        let must_wait = !self.window(source.is_near).borrow().has_room();
+        let must_wait = !self.window(source.is_same_zone).borrow().has_room();
         if let Some(arrived) = receipt.take_if(|_| must_wait) {
             source.acknowledge(arrived);
         }
-        let guard = self.begin(source.is_near).await;
+        let guard = self.start_part(source.is_same_zone).await;
         let call = PartCall {
             key: source.key.clone(),
             chunk: source.chunk,
             start,
             length: PART_BYTES,
-            is_near: source.is_near,
+            is_near: source.is_same_zone,
             receipt,
         };
         let reply = source.link.part(call).await.map_err(PartError::Call)?;
@@ -148,36 +152,37 @@
         Ok(part)
     }
 
-    async fn begin(&self, is_near: bool) -> PartGuard<'_> {
-        let window = self.window(is_near);
+    /// Waits until the window has room for another part.
+    async fn start_part(&self, is_same_zone: bool) -> PartGuard<'_> {
+        let window = self.window(is_same_zone);
         while !window.borrow().has_room() {
-            self.freed.notified().await;
+            self.part_ended.notified().await;
         }
-        let began_at = Instant::now();
+        let started_at = Instant::now();
         let others = window.borrow().under_way();
-        let id = window.borrow_mut().begin(began_at);
-        PartGuard { downloads: self, is_near, id, others, began_at }
+        let id = window.borrow_mut().begin(started_at);
+        PartGuard { downloads: self, is_same_zone, id, others, started_at }
     }
 }
 
-/// A part on its way. Dropped before its end it says nothing of the link.
+/// A part in flight. If it is dropped before it has arrived, its time is not measured.
 struct PartGuard<'a> {
     downloads: &'a PartDownloads,
-    is_near: bool,
+    is_same_zone: bool,
     id: u64,
-    /// Parts that were on their way already.
+    /// Parts that were in flight already when this one was requested.
     others: usize,
-    began_at: Instant,
+    started_at: Instant,
 }
 
 impl PartGuard<'_> {
-    /// The part is here, and has waited so long at the other agent.
+    /// Records that the part has arrived, after it waited for `queued` at the other agent.
     fn end(self, queued: Duration) {
         let now = Instant::now();
-        let took = now.saturating_duration_since(self.began_at).saturating_sub(queued);
-        let window = self.downloads.window(self.is_near);
-        let counts = window.borrow_mut().end(self.id, took, now);
-        if counts && self.is_near {
+        let took = now.saturating_duration_since(self.started_at).saturating_sub(queued);
+        let window = self.downloads.window(self.is_same_zone);
+        let measures_link = window.borrow_mut().end(self.id, took, now);
+        if measures_link && self.is_same_zone {
             self.downloads.link.borrow_mut().note(took, self.others, now);
         }
     }
@@ -185,7 +190,7 @@
 
 impl Drop for PartGuard<'_> {
     fn drop(&mut self) {
-        self.downloads.window(self.is_near).borrow_mut().cancel(self.id);
-        self.downloads.freed.notify_waiters();
+        self.downloads.window(self.is_same_zone).borrow_mut().cancel(self.id);
+        self.downloads.part_ended.notify_waiters();
     }
 }
--- a/crates/stager/src/probe.rs
+++ b/crates/stager/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asking a few other agents all the time, to know how long anything is on its way over the own link.
+//! Probes a few other agents continuously, to measure the round-trip time over this instance's link.
 
 use crate::{
     shared::{ReceivedPlan, StagerShared},
@@ -16,46 +16,47 @@
 };
 use tokio::time::Instant;
 
-/// Agents that are asked: with four links in ten narrow, all of three are one time in sixteen.
-const PEERS: usize = 3;
-/// Pause between an answer and the next question.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Pause after an agent could not be reached.
+/// Number of agents probed. If four links in ten are slow, those of three agents are all slow in one
+/// case of sixteen.
+const PROBED_PEERS: usize = 3;
+/// Pause between a reply and the next probe of the same agent.
+const PROBE_PAUSE: Duration = Duration::from_millis(250);
+/// Pause after a failed probe.
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(500);
-/// How often it is looked how long answers are awaited.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two looks from which on the process was standing still.
-const STOPPED: Duration = Duration::from_millis(250);
-/// Time for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(2_000);
+/// How often the time that replies are outstanding is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// If more time passes between two checks, this process was not running meanwhile.
+const PROCESS_PAUSE: Duration = Duration::from_millis(250);
+/// Timeout of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Asks for as long as the agent lives, and lets entries know.
+/// Probes other agents until this agent is dropped, and reports the link's delay to entries.
 pub(crate) async fn run(shared: Weak<StagerShared>) {
     let Some(held) = shared.upgrade() else { return };
     let mut plan = held.plan.subscribe();
     drop(held);
     plan.mark_changed();
     let mut tasks: IndexMap<SocketAddr, JoinHandle<()>> = IndexMap::new();
-    let mut looked_at = Instant::now();
+    let mut checked_at = Instant::now();
     loop {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let now = Instant::now();
-        if now.saturating_duration_since(looked_at) > STOPPED {
+        if now.saturating_duration_since(checked_at) > PROCESS_PAUSE {
             shared.path.borrow_mut().note_stopped(now);
         }
-        looked_at = now;
+        checked_at = now;
         if plan.has_changed().unwrap_or(false) {
             let held = plan.borrow_and_update();
-            let peers = held.as_ref().map_or_else(Vec::new, |plan| neighbours(&shared, plan));
+            let peers = held.as_ref().map_or_else(Vec::new, |plan| peers_to_probe(&shared, plan));
             drop(held);
-            follow_peers(&shared, &peers, &mut tasks);
+            set_probed_peers(&shared, &peers, &mut tasks);
         }
         shared.adapt_to_link();
     }
 }
 
-fn follow_peers(
+fn set_probed_peers(
     shared: &Rc<StagerShared>,
     peers: &[SocketAddr],
     tasks: &mut IndexMap<SocketAddr, JoinHandle<()>>,
@@ -70,24 +71,24 @@
         stays
     });
     for peer in peers {
-        let start = || actix_rt::spawn(ask(Rc::downgrade(shared), *peer));
+        let start = || actix_rt::spawn(probe_peer(Rc::downgrade(shared), *peer));
         tasks.entry(*peer).or_insert_with(start);
     }
 }
 
-/// The next agents behind this one, in the order of addresses, those of the own availability zone first:
-/// what is asked there crosses no zone.
-fn neighbours(shared: &StagerShared, plan: &ReceivedPlan) -> Vec<SocketAddr> {
+/// The agents that follow this one in the cyclic order of addresses. Those in the same availability
+/// zone come first, since probes to them cross no zone.
+fn peers_to_probe(shared: &StagerShared, plan: &ReceivedPlan) -> Vec<SocketAddr> {
     let own = shared.options.target;
     let mut peers: Vec<&SwarmPeer> = plan.peers.iter().filter(|peer| peer.target != own).collect();
     peers.sort_by_key(|peer| (peer.zone != shared.options.zone, peer.target < own, peer.target));
-    peers.iter().take(PEERS).map(|peer| peer.target).collect()
+    peers.iter().take(PROBED_PEERS).map(|peer| peer.target).collect()
 }
 
-async fn ask(shared: Weak<StagerShared>, target: SocketAddr) {
+async fn probe_peer(shared: Weak<StagerShared>, target: SocketAddr) {
     let Some(held) = shared.upgrade() else { return };
     let address = SocketAddr::new(target.ip(), held.options.chunk_port);
-    let options = LinkOptions { call_timeout: ANSWER_LIMIT, ..LinkOptions::default() };
+    let options = LinkOptions { call_timeout: PROBE_TIMEOUT, ..LinkOptions::default() };
     let link = ChunkLink::new(&address.to_string(), held.options.secret, options);
     drop(held);
     let name = peer_name(target);
@@ -95,15 +96,15 @@
         let Some(held) = shared.upgrade() else { return };
         held.path.borrow_mut().note_asked(&name, Instant::now());
         drop(held);
-        let answer = link.echo().await;
+        let reply = link.echo().await;
         let Some(held) = shared.upgrade() else { return };
-        let pause = match answer {
+        let pause = match reply {
             Ok(()) => {
                 held.path.borrow_mut().note_answered(&name, Instant::now());
-                PAUSE
+                PROBE_PAUSE
             }
             Err(error) => {
-                tracing::debug!(%error, "a peer does not answer a probe");
+                tracing::debug!(%error, "a peer did not reply to a probe");
                 held.path.borrow_mut().note_failed(&name);
                 PAUSE_AFTER_FAILURE
             }
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -231,9 +231,9 @@
     /// to entries, rounded up to [`LINK_DELAY_STEP`] so that it seldom changes.
     pub(crate) fn adapt_to_link(&self) {
         let now = Instant::now();
-        self.downloads.look(now);
-        self.uploads.look(now);
-        self.uploads.set_share(self.downloads.share(now));
+        self.downloads.check_late(now);
+        self.uploads.check_late(now);
+        self.uploads.set_rate_fraction(self.downloads.rate_fraction(now));
         let delay = self.downloads.delay(now).max(self.path.borrow().delay(now));
         let steps = delay.unwrap_or_default().as_secs_f64() / LINK_DELAY_STEP.as_secs_f64();
         let rounded = LINK_DELAY_STEP.mul_f64(steps.ceil());
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Carrying out the planner's orders for one version.
+//! Executes the planner's fetch orders for one version.
 
 use crate::{
     chunks::VersionChunks,
@@ -26,22 +26,23 @@
     time::Instant,
 };
 
-/// Time for one chunk; at the narrow links of instances a chunk takes some 30 ms, and dozens may
-/// be under way at a peer.
-const CHUNK_LIMIT: Duration = Duration::from_millis(2_500);
-/// Time to open a connection to the origin: many round trips between regions, and less than the
-/// second after which a lost opening packet is sent again.
-const ORIGIN_CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// How long a peer may keep the question for its chunks waiting.
+/// Timeout of a call for a chunk or a part of one. A chunk takes some 30 ms on an instance's link, and
+/// dozens may be in flight at a peer.
+const CHUNK_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Timeout of connecting to the origin: many round trips between regions, and less than the second
+/// after which a lost SYN is retransmitted.
+const ORIGIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a peer may hold a request for its chunk set until it has more chunks.
 const HELD_WAIT: Duration = Duration::from_millis(1_000);
-/// Shortest time between two questions to one peer, so that news of single chunks are gathered.
+/// Pause between a peer's reply and the next request for its chunk set, so that one reply covers
+/// several new chunks.
 const HELD_INTERVAL: Duration = Duration::from_millis(60);
-/// Pause after a peer did not answer or knows nothing of the version yet.
-const HELD_PAUSE: Duration = Duration::from_millis(150);
-/// How often the planner is asked although nothing has happened; it has limits of time.
+/// Pause after a peer did not reply or does not know the version yet.
+const HELD_RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Longest time between two runs of the planner, whose rules also depend on time.
 const PLAN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Brings all chunks of one version here. Ends when all are verified and staged; dropped when the
+/// Fetches all chunks of one version. Ends when all are verified and stored here; dropped when the
 /// plan changes to another version.
 pub(crate) struct Transfer {
     shared: Rc<StagerShared>,
@@ -50,23 +51,24 @@
     planner: RefCell<SwarmPlanner>,
     links: RefCell<IndexMap<InstanceName, Rc<ChunkLink>>>,
     origin: Rc<tokio::sync::Mutex<KeptClient>>,
-    began: Instant,
-    /// How often each chunk came with a wrong digest.
-    wrong: RefCell<IndexMap<u32, u32>>,
+    started_at: Instant,
+    /// Digest mismatches by chunk.
+    digest_mismatches: RefCell<IndexMap<u32, u32>>,
     /// Chunks fetched from the origin.
-    from_origin: Cell<u32>,
-    /// When the last of them was here.
-    origin_done_at: Cell<Duration>,
-    wake: Notify,
+    origin_chunks: Cell<u32>,
+    /// Time from the start until the last of them arrived.
+    last_origin_chunk_after: Cell<Duration>,
+    /// Wakes the loop that runs the planner.
+    plan_wake: Notify,
 }
 
-/// Times that one chunk may come with a wrong digest before the digest is doubted.
-const WRONG_DIGEST: u32 = 5;
+/// Number of digest mismatches of one chunk from which on the digest itself is taken for wrong.
+const MAX_DIGEST_MISMATCHES: u32 = 5;
 
 type FetchResult = (FetchOrder, Result<Bytes, FetchFailure>);
 
 impl Transfer {
-    /// A transfer that continues from what is held already.
+    /// A transfer that fetches the chunks not held yet.
     pub(crate) fn new(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
@@ -75,7 +77,7 @@
         Self::with_policy(shared, plan, weights, shared.options.planner)
     }
 
-    /// The same without ever fetching from the origin.
+    /// The same, but it fetches from peers only.
     pub(crate) fn without_origin(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
@@ -105,22 +107,22 @@
             planner: RefCell::new(planner),
             links: RefCell::default(),
             origin: Rc::new(tokio::sync::Mutex::new(origin_client(plan.origin))),
-            began: Instant::now(),
-            wrong: RefCell::default(),
-            from_origin: Cell::new(0),
-            origin_done_at: Cell::new(Duration::ZERO),
-            wake: Notify::new(),
+            started_at: Instant::now(),
+            digest_mismatches: RefCell::default(),
+            origin_chunks: Cell::new(0),
+            last_origin_chunk_after: Cell::new(Duration::ZERO),
+            plan_wake: Notify::new(),
         })
     }
 
     /// Chunks fetched from the origin so far.
     pub(crate) fn origin_chunks(&self) -> u32 {
-        self.from_origin.get()
+        self.origin_chunks.get()
     }
 
-    /// Time until the last of them was here.
+    /// Time from the start of the transfer until the last of them arrived.
     pub(crate) fn last_origin_chunk_after(&self) -> Duration {
-        self.origin_done_at.get()
+        self.last_origin_chunk_after.get()
     }
 
     /// Chunks fetched from other availability zones so far.
@@ -128,14 +130,14 @@
         self.planner.borrow().cross_zone_chunks()
     }
 
-    /// Takes in who takes part. Each neighbour's chunks are followed by a task that ends with the
-    /// transfer.
+    /// Sets the agents that take part. For each neighbour that the planner chooses, a task keeps track
+    /// of its chunks until the transfer is dropped.
     pub(crate) fn set_peers(self: &Rc<Self>, peers: &[SwarmPeer]) {
-        let planned: Vec<PlannerPeer> = peers
+        let swarm: Vec<PlannerPeer> = peers
             .iter()
             .map(|peer| PlannerPeer { name: peer_name(peer.target), zone: peer.zone.clone() })
             .collect();
-        self.planner.borrow_mut().set_swarm(&planned);
+        self.planner.borrow_mut().set_swarm(&swarm);
         let neighbours: Vec<InstanceName> = self.planner.borrow().neighbours().cloned().collect();
         let mut links = self.links.borrow_mut();
         links.retain(|name, _| neighbours.contains(name));
@@ -145,27 +147,28 @@
                 continue;
             }
             let address = SocketAddr::new(peer.target.ip(), self.shared.options.chunk_port);
-            let options = LinkOptions { call_timeout: CHUNK_LIMIT, ..LinkOptions::default() };
+            let options = LinkOptions { call_timeout: CHUNK_TIMEOUT, ..LinkOptions::default() };
             let link = ChunkLink::new(&address.to_string(), self.shared.options.secret, options);
             let link = Rc::new(link);
             links.insert(name.clone(), link.clone());
-            actix_rt::spawn(follow_peer(Rc::downgrade(self), name, link, self.key.clone()));
+            actix_rt::spawn(track_peer(Rc::downgrade(self), name, link, self.key.clone()));
         }
-        self.wake.notify_one();
+        self.plan_wake.notify_one();
     }
 
+    /// Time since the start of the transfer, the planner's clock.
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Fetches until everything is here. Returns false if some chunk is wrong from wherever it
-    /// comes, so that its digest must be.
+    /// Fetches until all chunks are here. Returns false once some chunk has had
+    /// [`MAX_DIGEST_MISMATCHES`], so that its digest must be wrong rather than its sources.
     pub(crate) async fn run(self: &Rc<Self>) -> bool {
         let (results, mut finished) = mpsc::unbounded_channel::<FetchResult>();
         let mut fetches = FetchTasks::default();
         while !self.planner.borrow().have().is_full() {
-            let at_a_time = self.shared.downloads.fetches();
-            self.planner.borrow_mut().set_peer_fetches(at_a_time);
+            let max_chunks = self.shared.downloads.max_concurrent_chunks();
+            self.planner.borrow_mut().set_peer_fetches(max_chunks);
             let orders = self.planner.borrow_mut().plan(self.now());
             for order in orders {
                 let (transfer, results) = (self.clone(), results.clone());
@@ -177,32 +180,33 @@
             fetches.0.retain(|task| !task.is_finished());
             tokio::select! {
                 result = finished.recv() => if let Some((order, result)) = result {
-                    self.take(&order, result).await;
+                    self.finish_fetch(&order, result).await;
                 },
-                () = self.wake.notified() => {}
+                () = self.plan_wake.notified() => {}
                 () = tokio::time::sleep(PLAN_INTERVAL) => {}
             }
             self.shared.adapt_to_link();
-            if self.wrong.borrow().values().any(|count| *count >= WRONG_DIGEST) {
+            if self.digest_mismatches.borrow().values().any(|count| *count >= MAX_DIGEST_MISMATCHES)
+            {
                 return false;
             }
         }
         true
     }
 
-    async fn take(&self, order: &FetchOrder, result: Result<Bytes, FetchFailure>) {
+    async fn finish_fetch(&self, order: &FetchOrder, result: Result<Bytes, FetchFailure>) {
         let bytes = match result {
             Ok(bytes) if self.digests.matches(order.chunk, &bytes) => bytes,
             Ok(_) => {
-                tracing::info!(chunk = order.chunk, source = ?order.source, "a chunk has a wrong digest");
+                tracing::info!(chunk = order.chunk, source = ?order.source, "a fetched chunk does not match its digest");
                 self.shared.metrics.chunks_bad.inc();
-                *self.wrong.borrow_mut().entry(order.chunk).or_insert(0) += 1;
+                *self.digest_mismatches.borrow_mut().entry(order.chunk).or_insert(0) += 1;
                 let now = self.now();
                 self.planner.borrow_mut().note_failed(order, FetchFailure::Corrupt, now);
                 return;
             }
             Err(failure) => {
-                tracing::debug!(chunk = order.chunk, source = ?order.source, ?failure, "a chunk was not fetched");
+                tracing::debug!(chunk = order.chunk, source = ?order.source, ?failure, "a chunk could not be fetched");
                 let now = self.now();
                 self.planner.borrow_mut().note_failed(order, failure, now);
                 return;
@@ -210,8 +214,8 @@
         };
         match &order.source {
             SourceChoice::Upstream => {
-                self.from_origin.set(self.from_origin.get() + 1);
-                self.origin_done_at.set(self.now());
+                self.origin_chunks.set(self.origin_chunks.get() + 1);
+                self.last_origin_chunk_after.set(self.now());
                 self.shared.metrics.chunks_from_origin.inc();
             }
             SourceChoice::Peer(_) => self.shared.metrics.chunks_from_peers.inc(),
@@ -227,23 +231,23 @@
 
     async fn fetch(&self, order: &FetchOrder) -> Result<Bytes, FetchFailure> {
         match &order.source {
-            SourceChoice::Upstream => self.fetch_origin(order.chunk).await,
+            SourceChoice::Upstream => self.fetch_from_origin(order.chunk).await,
             SourceChoice::Peer(name) => {
                 let link = self.links.borrow().get(name).cloned();
                 let link = link.ok_or(FetchFailure::Absent)?;
-                let is_near = self.planner.borrow().is_near(name);
+                let is_same_zone = self.planner.borrow().is_near(name);
                 let (key, chunk) = (&self.key, order.chunk);
-                let source = ChunkSource { link: &link, is_near, key, chunk };
-                let answer = self.shared.downloads.chunk(&source).await;
+                let source = ChunkSource { link: &link, is_same_zone, key, chunk };
+                let result = self.shared.downloads.download_chunk(&source).await;
                 self.shared.adapt_to_link();
-                match answer {
+                match result {
                     Ok(chunk) => {
                         self.planner.borrow_mut().note_queued(name, chunk.queued);
                         Ok(chunk.bytes)
                     }
                     Err(PartError::Absent) => Err(FetchFailure::Absent),
                     Err(PartError::Call(error)) => {
-                        tracing::debug!(%error, "a peer gave no chunk");
+                        tracing::debug!(%error, "a chunk could not be downloaded from a peer");
                         Err(FetchFailure::Unreachable)
                     }
                 }
@@ -251,18 +255,18 @@
         }
     }
 
-    /// One line when the origin is lost and one when it is back.
-    fn note_origin(&self, answers: bool) {
+    /// Records whether the origin replied; logs when it becomes unreachable and reachable again.
+    fn record_origin_reply(&self, answers: bool) {
         if self.shared.origin_unreachable.replace(!answers) == answers {
             tracing::info!(answers, version = self.key.version, "the origin of weights");
         }
     }
 
-    async fn fetch_origin(&self, chunk: u32) -> Result<Bytes, FetchFailure> {
+    async fn fetch_from_origin(&self, chunk: u32) -> Result<Bytes, FetchFailure> {
         let call = self.shared.dialect.origin_chunk(&self.key.model, self.key.version, chunk);
-        let answer = self.origin.lock().await.call(&request(&call, CHUNK_LIMIT)).await;
-        self.note_origin(answer.is_ok());
-        match answer {
+        let reply = self.origin.lock().await.call(&request(&call, CHUNK_TIMEOUT)).await;
+        self.record_origin_reply(reply.is_ok());
+        match reply {
             Ok(reply) if reply.status == 200 => Ok(reply.body),
             Ok(reply) if matches!(reply.status, 404 | 410) => Err(FetchFailure::Absent),
             Ok(_) => Err(FetchFailure::Busy(Duration::from_millis(100))),
@@ -271,17 +275,16 @@
     }
 }
 
-/// A client of the origin.
+/// An HTTP client of the origin, with a connect timeout.
 ///
-/// Failure guarded: the origin is dark for seconds, and connections that are being opened when it
-/// comes back hang until their calls time out. All instances wait for the chunks of those that did
-/// not notice: with calls of 2.5 s as the only limit, new weights were 2.5 s late in every second
-/// such outage.
+/// If the origin is unreachable for seconds, connections that are being opened when it comes back hang
+/// until they time out, and all instances wait for the chunks that these agents are to fetch. With the
+/// timeout of calls, 2.5 s, as the only one, new weights were 2.5 s late in every second such outage.
 pub(crate) fn origin_client(origin: SocketAddr) -> KeptClient {
-    KeptClient::with_connect_limit(origin, ORIGIN_CONNECT_LIMIT)
+    KeptClient::with_connect_limit(origin, ORIGIN_CONNECT_TIMEOUT)
 }
 
-/// Fetches under way; ended with the transfer.
+/// Tasks of the fetches in flight; aborted on drop.
 #[derive(Default)]
 struct FetchTasks(Vec<actix_rt::task::JoinHandle<()>>);
 
@@ -293,21 +296,23 @@
     }
 }
 
-/// Name of a peer in the planner: its host, since each instance runs one agent.
+/// Name of a peer in the planner: the IP address of its target, since each instance runs one agent.
 pub(crate) fn peer_name(target: SocketAddr) -> InstanceName {
     let host = target.ip().to_string().replace(':', "-");
     InstanceName::try_from(host).expect("an IP address makes a valid name")
 }
 
-async fn follow_peer(
+/// Requests a peer's chunk set repeatedly and passes it to the planner, until the peer has all chunks,
+/// is no neighbour any more, or the transfer is dropped.
+async fn track_peer(
     transfer: std::rc::Weak<Transfer>,
     name: InstanceName,
     link: Rc<ChunkLink>,
     key: WeightsKey,
 ) {
-    let mut known = 0;
+    let mut known_count = 0;
     loop {
-        let answer = link.held(key.clone(), known, HELD_WAIT).await;
+        let result = link.held(key.clone(), known_count, HELD_WAIT).await;
         let Some(transfer) = transfer.upgrade() else { return };
         let is_current =
             transfer.links.borrow().get(&name).is_some_and(|own| Rc::ptr_eq(own, &link));
@@ -315,7 +320,7 @@
             return;
         }
         let count = transfer.digests.count();
-        let reply = answer.ok().flatten();
+        let reply = result.ok().flatten();
         if reply.as_ref().is_some_and(|reply| reply.origin_lost) {
             let now = transfer.now();
             transfer.planner.borrow_mut().note_origin_lost(now);
@@ -323,16 +328,16 @@
         let held = reply.and_then(|reply| ChunkSet::from_text(&reply.chunks, count));
         let pause = match held {
             Some(held) => {
-                known = held.count();
+                known_count = held.count();
                 let now = transfer.now();
                 transfer.planner.borrow_mut().note_have(&name, held, now);
-                transfer.wake.notify_one();
-                if known == count {
+                transfer.plan_wake.notify_one();
+                if known_count == count {
                     return;
                 }
                 HELD_INTERVAL
             }
-            None => HELD_PAUSE,
+            None => HELD_RETRY_PAUSE,
         };
         drop(transfer);
         tokio::time::sleep(pause).await;
--- a/crates/stager/src/uploads.rs
+++ b/crates/stager/src/uploads.rs
@@ -1,4 +1,4 @@
-//! Turns on the own link for the parts that other agents fetch.
+//! Limits the parts in flight to other agents and paces them on this instance's link.
 
 use egretseam_rpc::PartReceipt;
 use egretseam_swarm::{LinkBudget, MOST_FAR_PARTS, MOST_NEAR_PARTS, TransferWindow};
@@ -6,90 +6,94 @@
 use std::{cell::RefCell, time::Duration};
 use tokio::{sync::Notify, time::Instant};
 
-/// Time after which a part whose receipt did not come is not counted any more: its fetcher is gone.
-const RECEIPT_LIMIT: Duration = Duration::from_millis(1_000);
+/// A part counts as in flight for at most this time without a receipt; then its receiver is gone.
+const RECEIPT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Parts on their way in one direction, and when each was given, by their numbers.
+/// Parts in flight to agents of the same zone or to those of other zones.
 #[derive(Debug)]
-struct GivenParts {
+struct SentParts {
     window: TransferWindow,
-    given_at: IndexMap<u64, Instant>,
+    /// When each part was sent, by its number.
+    sent_at: IndexMap<u64, Instant>,
 }
 
-impl GivenParts {
-    fn new(most: usize) -> RefCell<Self> {
-        RefCell::new(Self { window: TransferWindow::new(most), given_at: IndexMap::new() })
+impl SentParts {
+    fn new(max_parts: usize) -> RefCell<Self> {
+        RefCell::new(Self { window: TransferWindow::new(max_parts), sent_at: IndexMap::new() })
     }
 
     fn begin(&mut self, now: Instant) -> u64 {
         let number = self.window.begin(now);
-        self.given_at.insert(number, now);
+        self.sent_at.insert(number, now);
         number
     }
 
     fn end(&mut self, number: u64, now: Instant) {
-        if let Some(given_at) = self.given_at.swap_remove(&number) {
-            self.window.end(number, now.saturating_duration_since(given_at), now);
+        if let Some(sent_at) = self.sent_at.swap_remove(&number) {
+            self.window.end(number, now.saturating_duration_since(sent_at), now);
         }
     }
 
-    fn look(&mut self, now: Instant) {
-        let is_new = |given_at: &Instant| now.saturating_duration_since(*given_at) <= RECEIPT_LIMIT;
-        self.given_at.retain(|_, given_at| is_new(given_at));
+    fn check_late(&mut self, now: Instant) {
+        let is_awaited =
+            |sent_at: &Instant| now.saturating_duration_since(*sent_at) <= RECEIPT_TIMEOUT;
+        self.sent_at.retain(|_, sent_at| is_awaited(sent_at));
         self.window.look(now);
-        self.window.expire(RECEIPT_LIMIT, now);
+        self.window.expire(RECEIPT_TIMEOUT, now);
     }
 }
 
-/// Parts that this agent gives.
+/// Limits and paces the parts that this agent uploads.
 #[derive(Debug)]
 pub(crate) struct PartUploads {
     link: LinkBudget,
-    near: RefCell<GivenParts>,
-    far: RefCell<GivenParts>,
-    freed: Notify,
+    same_zone: RefCell<SentParts>,
+    cross_zone: RefCell<SentParts>,
+    /// Wakes those who wait for room in a window.
+    room_changed: Notify,
 }
 
 impl PartUploads {
-    /// Nothing is on its way yet over a link of so many bytes a second.
+    /// No parts in flight on a link with a configured rate of `bytes_per_second`.
     pub(crate) fn new(bytes_per_second: u64) -> Self {
         Self {
             link: LinkBudget::new(Some(bytes_per_second)),
-            near: GivenParts::new(MOST_NEAR_PARTS),
-            far: GivenParts::new(MOST_FAR_PARTS),
-            freed: Notify::new(),
+            same_zone: SentParts::new(MOST_NEAR_PARTS),
+            cross_zone: SentParts::new(MOST_FAR_PARTS),
+            room_changed: Notify::new(),
         }
     }
 
-    /// Uses only so much of the link's rate.
-    pub(crate) fn set_share(&self, share: f64) {
-        self.link.set_share(share);
+    /// Paces uploads at this fraction of the link's configured rate.
+    pub(crate) fn set_rate_fraction(&self, rate_fraction: f64) {
+        self.link.set_share(rate_fraction);
     }
 
-    /// Waits for the turn of a part.
-    pub(crate) async fn turn(&self, is_near: bool, bytes: usize) -> PartReceipt {
+    /// Waits until a part of `bytes` may be sent. The receiver acknowledges it with the receipt
+    /// returned.
+    pub(crate) async fn acquire(&self, is_same_zone: bool, bytes: usize) -> PartReceipt {
         self.link.take(bytes).await;
-        let parts = self.parts(is_near);
+        let parts = self.parts(is_same_zone);
         while !parts.borrow().window.has_room() {
-            self.freed.notified().await;
+            self.room_changed.notified().await;
         }
-        PartReceipt { is_near, number: parts.borrow_mut().begin(Instant::now()) }
+        PartReceipt { is_near: is_same_zone, number: parts.borrow_mut().begin(Instant::now()) }
     }
 
-    /// Notes that a part has arrived.
-    pub(crate) fn note_received(&self, receipt: PartReceipt) {
+    /// Records that a part has arrived.
+    pub(crate) fn record_receipt(&self, receipt: PartReceipt) {
         self.parts(receipt.is_near).borrow_mut().end(receipt.number, Instant::now());
-        self.freed.notify_waiters();
+        self.room_changed.notify_waiters();
     }
 
-    /// Looks whether parts are late or lost that are still on their way.
-    pub(crate) fn look(&self, now: Instant) {
-        self.near.borrow_mut().look(now);
-        self.far.borrow_mut().look(now);
-        self.freed.notify_waiters();
+    /// Checks for parts in flight that are late or lost, and adapts the windows.
+    pub(crate) fn check_late(&self, now: Instant) {
+        self.same_zone.borrow_mut().check_late(now);
+        self.cross_zone.borrow_mut().check_late(now);
+        self.room_changed.notify_waiters();
     }
 
-    fn parts(&self, is_near: bool) -> &RefCell<GivenParts> {
-        if is_near { &self.near } else { &self.far }
+    fn parts(&self, is_same_zone: bool) -> &RefCell<SentParts> {
+        if is_same_zone { &self.same_zone } else { &self.cross_zone }
     }
 }
