--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -20,8 +20,8 @@
 /// How often the end of that time is checked.
 const SETTLED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Number of versions whose digests, some KiB each, are kept without their chunks. Any of them may be
-/// staged at an engine whose agent is down while versions are published in quick succession.
+/// Number of versions whose digests, some KiB each, are kept without their chunks. Any of them may
+/// be staged at an engine whose agent is down while versions are published in quick succession.
 const MAX_OTHER_DIGESTS: usize = 16;
 
 /// Verified chunks of one version.
@@ -60,8 +60,8 @@
         self.pace = ChunkPace::new(self.held.count(), Instant::now());
     }
 
-    /// Estimated time until the last chunk arrives, at the pace so far; `None` if chunks have stopped
-    /// arriving or none has arrived.
+    /// Estimated time until the last chunk arrives, at the pace so far; `None` if chunks have
+    /// stopped arriving or none has arrived.
     pub(crate) fn time_to_complete(&self, now: Instant) -> Option<Duration> {
         self.pace.expected_whole(self.digests.count(), now)
     }
@@ -105,8 +105,8 @@
 pub(crate) struct ChunkStore {
     current: Option<VersionChunks>,
     superseded: Option<VersionChunks>,
-    /// Digests of versions whose chunks are not kept, the last added at the end. Agents that restart
-    /// need them to identify what is staged at their engines.
+    /// Digests of versions whose chunks are not kept, the last added at the end. Agents that
+    /// restart need them to identify what is staged at their engines.
     other_digests: VecDeque<Rc<WeightDigests>>,
 }
 
@@ -126,7 +126,8 @@
         held.or_else(known).cloned()
     }
 
-    /// Digests of all versions of a model that have at least one of these digests at the same index.
+    /// Digests of all versions of a model that have at least one of these digests at the same
+    /// index.
     pub(crate) fn digests_matching(
         &self,
         model: &ModelName,
@@ -139,8 +140,8 @@
             .collect()
     }
 
-    /// Keeps the digests of a version whose chunks are not kept. Those kept longest are dropped beyond
-    /// [`MAX_OTHER_DIGESTS`].
+    /// Keeps the digests of a version whose chunks are not kept. Those kept longest are dropped
+    /// beyond [`MAX_OTHER_DIGESTS`].
     pub(crate) fn keep_digests(&mut self, digests: &Rc<WeightDigests>) {
         let is_known = |held: &VersionChunks| held.key == digests.key();
         if self.current.iter().chain(&self.superseded).any(is_known) {
@@ -164,7 +165,8 @@
         self.current = None;
     }
 
-    /// Sets the version `key` aside, if the engine was to load it, in place of the one set aside before.
+    /// Sets the version `key` aside, if the engine was to load it, in place of the one set aside
+    /// before.
     pub(crate) fn set_aside(&mut self, key: &WeightsKey) {
         if self.current.as_ref().is_some_and(|weights| weights.key == *key) {
             let previous = std::mem::replace(&mut self.superseded, self.current.take());
--- a/crates/stager/src/digest_search.rs
+++ b/crates/stager/src/digest_search.rs
@@ -1,11 +1,13 @@
-//! Fetches the digest list of a version, some KiB: a few agents from the origin, the others from peers.
+//! Fetches the digest list of a version, some KiB: a few agents from the origin, the others from
+//! peers.
 //!
 //! Hundreds of agents need the same list at once when a version is published, when the whole system
-//! restarts, or when the origin is reachable again after an outage of seconds. If each agent requested
-//! the list from the origin after 0.6 s, the origin sent 6.5 KB per agent: half a copy of the weights for
-//! 184 agents, and half of the agents had the list only 2.2 s after the outage. Agents therefore request
-//! it from each other, along a tree of their ranks and from one or two random peers, and the higher an
-//! agent's rank, the longer its interval between requests to the origin.
+//! restarts, or when the origin is reachable again after an outage of seconds. If each agent
+//! requested the list from the origin after 0.6 s, the origin sent 6.5 KB per agent: half a copy of
+//! the weights for 184 agents, and half of the agents had the list only 2.2 s after the outage.
+//! Agents therefore request it from each other, along a tree of their ranks and from one or two
+//! random peers, and the higher an agent's rank, the longer its interval between requests to the
+//! origin.
 
 use crate::{
     digests::WeightDigests,
@@ -36,8 +38,8 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Pause before the next request to a peer.
 const PEER_PAUSE: Duration = Duration::from_millis(40);
-/// Agents that request the list from the same parent in the tree: its link carries a list in 4 ms, and
-/// 184 agents make four levels.
+/// Agents that request the list from the same parent in the tree: its link carries a list in 4 ms,
+/// and 184 agents make four levels.
 const TREE_WIDTH: usize = 4;
 
 /// Schedule of an agent's requests to the origin for one digest list.
@@ -93,8 +95,8 @@
     }
 }
 
-/// Asks a random peer for the versions that have at least one of these digests at the same index: the
-/// staged chunks with these digests may belong to them.
+/// Asks a random peer for the versions that have at least one of these digests at the same index:
+/// the staged chunks with these digests may belong to them.
 pub(crate) async fn versions_matching(
     shared: &StagerShared,
     model: &ModelName,
@@ -145,10 +147,10 @@
 /// Whether this agent may request digests from the origin: only if its engine is up, or if it may
 /// fetch early and a version has been published.
 ///
-/// While an engine is not up, its staged chunks cannot be read back, and its agent would fetch all of
-/// them again: a complete copy from the origin at every start of the system. Before any version is
-/// published, fetching is not urgent: the agent of an added engine takes what its peers have, so that
-/// it is ready when the engine is up, but requests nothing from the origin.
+/// While an engine is not up, its staged chunks cannot be read back, and its agent would fetch all
+/// of them again: a complete copy from the origin at every start of the system. Before any version
+/// is published, fetching is not urgent: the agent of an added engine takes what its peers have, so
+/// that it is ready when the engine is up, but requests nothing from the origin.
 fn may_request_from_origin(shared: &StagerShared, plan: &ReceivedPlan) -> bool {
     let is_up = shared.report.borrow().is_some();
     is_up || (shared.options.fetches_early && plan.plan.version.is_some())
@@ -195,13 +197,13 @@
     }
 }
 
-/// Requests the digests from a peer. While this agent's engine is not up, only a peer replies that has
-/// had all chunks for longer than a start takes; when the engine comes up, the request is abandoned and
-/// the caller sends a new one.
+/// Requests the digests from a peer. While this agent's engine is not up, only a peer replies that
+/// has had all chunks for longer than a start takes; when the engine comes up, the request is
+/// abandoned and the caller sends a new one.
 ///
-/// When the whole system starts, agents are up before their engines, which have all chunks staged. If
-/// the first agent whose engine is up passed its list on, all others would fetch a complete version that
-/// is staged already: 120 KB/s for each agent instead of 17.
+/// When the whole system starts, agents are up before their engines, which have all chunks staged.
+/// If the first agent whose engine is up passed its list on, all others would fetch a complete
+/// version that is staged already: 120 KB/s for each agent instead of 17.
 async fn request_from_peer(
     shared: &StagerShared,
     link: &ChunkLink,
--- a/crates/stager/src/downloads.rs
+++ b/crates/stager/src/downloads.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Number of chunks that may be downloaded at a time: the size of the same-zone window, and those
-    /// whose parts are delayed at the other agent.
+    /// Number of chunks that may be downloaded at a time: the size of the same-zone window, and
+    /// those whose parts are delayed at the other agent.
     pub(crate) fn max_concurrent_chunks(&self) -> usize {
         let (same_zone, cross_zone) = (self.same_zone.borrow(), self.cross_zone.borrow());
         same_zone.size() + same_zone.overtaken() + cross_zone.overtaken()
@@ -124,9 +124,9 @@
 
     /// Downloads the part that starts at byte `start`. `receipt` acknowledges the part before it.
     ///
-    /// The receipt goes with the request unless the request must wait for room in the window; then it
-    /// is sent at once. Otherwise agents would wait for room with receipts not yet sent, while the
-    /// senders wait for these receipts, and all would stall until the receipts time out.
+    /// The receipt goes with the request unless the request must wait for room in the window; then
+    /// it is sent at once. Otherwise agents would wait for room with receipts not yet sent, while
+    /// the senders wait for these receipts, and all would stall until the receipts time out.
     async fn download_part(
         &self,
         source: &ChunkSource<'_>,
--- a/crates/stager/src/probe.rs
+++ b/crates/stager/src/probe.rs
@@ -1,4 +1,5 @@
-//! Probes a few other agents continuously, to measure the round-trip time over this instance's link.
+//! Probes a few other agents continuously, to measure the round-trip time over this instance's
+//! link.
 
 use crate::{
     shared::{ReceivedPlan, StagerShared},
@@ -16,8 +17,8 @@
 };
 use tokio::time::Instant;
 
-/// Number of agents probed. If four links in ten are slow, those of three agents are all slow in one
-/// case of sixteen.
+/// Number of agents probed. If four links in ten are slow, those of three agents are all slow in
+/// one case of sixteen.
 const PROBED_PEERS: usize = 3;
 /// Pause between a reply and the next probe of the same agent.
 const PROBE_PAUSE: Duration = Duration::from_millis(250);
--- a/crates/stager/src/ranks.rs
+++ b/crates/stager/src/ranks.rs
@@ -31,8 +31,8 @@
     names
 }
 
-/// Sort key of an instance. Every agent computes the same order; it differs between versions, so that
-/// the same instances are not always last.
+/// Sort key of an instance. Every agent computes the same order; it differs between versions, so
+/// that the same instances are not always last.
 fn rank_hash(name: &str, version: u64) -> u64 {
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     let start = 0xcbf2_9ce4_8422_2325 ^ version.wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -85,7 +85,8 @@
     /// When the version was published, as far as this agent knows.
     pub(crate) published_at: Instant,
     /// When the oldest version was published that the engine has not loaded yet. The staleness
-    /// bound counts from then, because that version's ends first; a newer version does not reset it.
+    /// bound counts from then, because that version's ends first; a newer version does not reset
+    /// it.
     pub(crate) staleness_start: Instant,
 }
 
@@ -227,8 +228,8 @@
         }
     }
 
-    /// Reduces downloads and uploads while this instance's link is slow, and reports the link's delay
-    /// to entries, rounded up to [`LINK_DELAY_STEP`] so that it seldom changes.
+    /// Reduces downloads and uploads while this instance's link is slow, and reports the link's
+    /// delay to entries, rounded up to [`LINK_DELAY_STEP`] so that it seldom changes.
     pub(crate) fn adapt_to_link(&self) {
         let now = Instant::now();
         self.downloads.check_late(now);
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -26,8 +26,8 @@
     time::Instant,
 };
 
-/// Timeout of a call for a chunk or a part of one. A chunk takes some 30 ms on an instance's link, and
-/// dozens may be in flight at a peer.
+/// Timeout of a call for a chunk or a part of one. A chunk takes some 30 ms on an instance's link,
+/// and dozens may be in flight at a peer.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Timeout of connecting to the origin: many round trips between regions, and less than the second
 /// after which a lost SYN is retransmitted.
@@ -130,8 +130,8 @@
         self.planner.borrow().cross_zone_chunks()
     }
 
-    /// Sets the agents that take part. For each neighbour that the planner chooses, a task keeps track
-    /// of its chunks until the transfer is dropped.
+    /// Sets the agents that take part. For each neighbour that the planner chooses, a task keeps
+    /// track of its chunks until the transfer is dropped.
     pub(crate) fn set_peers(self: &Rc<Self>, peers: &[SwarmPeer]) {
         let swarm: Vec<PlannerPeer> = peers
             .iter()
@@ -198,7 +198,11 @@
         let bytes = match result {
             Ok(bytes) if self.digests.matches(order.chunk, &bytes) => bytes,
             Ok(_) => {
-                tracing::info!(chunk = order.chunk, source = ?order.source, "a fetched chunk does not match its digest");
+                tracing::info!(
+                    chunk = order.chunk,
+                    source = ?order.source,
+                    "a fetched chunk does not match its digest"
+                );
                 self.shared.metrics.chunks_bad.inc();
                 *self.digest_mismatches.borrow_mut().entry(order.chunk).or_insert(0) += 1;
                 let now = self.now();
@@ -206,7 +210,12 @@
                 return;
             }
             Err(failure) => {
-                tracing::debug!(chunk = order.chunk, source = ?order.source, ?failure, "a chunk could not be fetched");
+                tracing::debug!(
+                    chunk = order.chunk,
+                    source = ?order.source,
+                    ?failure,
+                    "a chunk could not be fetched"
+                );
                 let now = self.now();
                 self.planner.borrow_mut().note_failed(order, failure, now);
                 return;
@@ -277,9 +286,10 @@
 
 /// An HTTP client of the origin, with a connect timeout.
 ///
-/// If the origin is unreachable for seconds, connections that are being opened when it comes back hang
-/// until they time out, and all instances wait for the chunks that these agents are to fetch. With the
-/// timeout of calls, 2.5 s, as the only one, new weights were 2.5 s late in every second such outage.
+/// If the origin is unreachable for seconds, connections that are being opened when it comes back
+/// hang until they time out, and all instances wait for the chunks that these agents are to fetch.
+/// With the timeout of calls, 2.5 s, as the only one, new weights were 2.5 s late in every second
+/// such outage.
 pub(crate) fn origin_client(origin: SocketAddr) -> KeptClient {
     KeptClient::with_connect_limit(origin, ORIGIN_CONNECT_TIMEOUT)
 }
@@ -302,8 +312,8 @@
     InstanceName::try_from(host).expect("an IP address makes a valid name")
 }
 
-/// Requests a peer's chunk set repeatedly and passes it to the planner, until the peer has all chunks,
-/// is no neighbour any more, or the transfer is dropped.
+/// Requests a peer's chunk set repeatedly and passes it to the planner, until the peer has all
+/// chunks, is no neighbour any more, or the transfer is dropped.
 async fn track_peer(
     transfer: std::rc::Weak<Transfer>,
     name: InstanceName,
