--- a/tests/all/fleet/narrow_link.rs
+++ b/tests/all/fleet/narrow_link.rs
@@ -1,4 +1,4 @@
-//! Agents whose links narrow.
+//! Agents whose links become slow.
 
 use super::engines::{CHUNKS, ScriptedEngine, ScriptedOrigin};
 use crate::serving_tables::{model, service};
@@ -25,9 +25,9 @@
     net::TcpStream,
 };
 
-/// How long anything may take that is waited for; far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Other agents.
+/// Timeout of every wait for a condition, far above the time it takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of other agents.
 const OTHERS: u8 = 3;
 
 pub(super) fn zone() -> ZoneName {
@@ -38,12 +38,12 @@
     IpAddr::from([127, 77, 0, number])
 }
 
-/// The agent on a host, as others know it.
+/// The agent on host `number`, as its peers know it.
 pub(super) fn peer(number: u8) -> SwarmPeer {
     SwarmPeer { target: SocketAddr::new(host(number), 8_000), zone: zone() }
 }
 
-/// An agent that answers as late as is set.
+/// An agent that delays its replies to probes.
 #[derive(Clone)]
 struct SlowAgent {
     delay: Rc<Cell<Duration>>,
@@ -78,7 +78,8 @@
     }
 }
 
-/// A control member that names the other agents and notes what the agent says of its link.
+/// A control member that sends the agent its peers and records the link delay that the agent
+/// reports.
 #[derive(Clone)]
 pub(super) struct FakeControlMember {
     origin: SocketAddr,
@@ -87,7 +88,7 @@
 }
 
 impl FakeControlMember {
-    /// Starts to answer; returns where, besides.
+    /// Starts to serve; also returns the address.
     pub(super) fn start(
         origin: SocketAddr,
         peers: Vec<SwarmPeer>,
@@ -98,7 +99,7 @@
         let seed = feeds.local_addr().expect("bound").to_string();
         let member = Self { origin, peers, link_delay: Rc::default() };
         let server = serve_feed(feeds, secret, RpcOptions::default(), member.clone());
-        (member, server.expect("it is served"), seed)
+        (member, server.expect("the feed is served"), seed)
     }
 
     fn plan(&self) -> WeightsPlan {
@@ -114,7 +115,7 @@
 
 impl FeedService for FakeControlMember {
     async fn feed(self, _: Context, _: FeedCall) -> FeedReply {
-        unreachable!("no entry asks")
+        unreachable!("the test has no entry")
     }
 
     async fn agent(self, _: Context, call: AgentCall) -> AgentReply {
@@ -144,26 +145,26 @@
     }
 }
 
-/// Other agents, all at the port that the first one has found free.
+/// Starts the other agents, all on the port that was free for the first one.
 fn start_others(delay: &Rc<Cell<Duration>>, secret: PeerSecret) -> (u16, Vec<RpcServer>) {
     let mut port = 0;
     let start = |number| {
         let listener = TcpListener::bind((host(number), port)).expect("a free port");
         port = listener.local_addr().expect("bound").port();
         let agent = SlowAgent { delay: delay.clone() };
-        serve_chunks(listener, secret, RpcOptions::default(), agent).expect("it is served")
+        serve_chunks(listener, secret, RpcOptions::default(), agent).expect("the agent is served")
     };
     let servers = (2..2 + OTHERS).map(start).collect();
     (port, servers)
 }
 
-pub(super) async fn wait_until(done: impl Fn() -> bool) {
+pub(super) async fn wait_until(condition: impl Fn() -> bool) {
     let wait = async {
-        while !done() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait).await.expect("it happens in time");
+    tokio::time::timeout(WAIT_TIMEOUT, wait).await.expect("the condition is met in time");
 }
 
 /// A port that is free on a host.
@@ -172,7 +173,7 @@
     free.local_addr().expect("bound").port()
 }
 
-/// Starts an engine that holds nothing, and an agent beside it.
+/// Starts an engine that has loaded nothing, and its agent.
 pub(super) async fn start_agent(
     host: IpAddr,
     chunk_port: u16,
@@ -198,89 +199,96 @@
     let listeners = StagerListeners { chunks };
     let metrics = DaemonMetrics::new();
     let agent = StagerRuntime::start(options, Rc::new(PlatformEngine), listeners, &metrics);
-    (engine, agent.expect("it starts"))
+    (engine, agent.expect("the agent starts"))
 }
 
-/// Relays connections to an agent until so many bytes have come from it; counts what comes after that
-/// instead of passing it on, as a link that stands still holds what is on its way.
+/// Relays connections to an agent until it has sent `bytes_left` bytes. Counts what it sends after
+/// that instead of passing it on, as a stalled link holds what is in flight.
 struct StallingRelay {
     agent: SocketAddr,
-    passes: Cell<usize>,
-    held: Cell<usize>,
+    bytes_left: Cell<usize>,
+    bytes_held: Cell<usize>,
 }
 
 impl StallingRelay {
     fn start(self: &Rc<Self>, listener: TcpListener) {
-        listener.set_nonblocking(true).expect("it listens");
-        let listener = tokio::net::TcpListener::from_std(listener).expect("it listens");
+        listener.set_nonblocking(true).expect("the listener is usable");
+        let listener = tokio::net::TcpListener::from_std(listener).expect("the listener is usable");
         let relay = self.clone();
         actix_rt::spawn(async move {
-            while let Ok((fetcher, _)) = listener.accept().await {
+            while let Ok((receiver, _)) = listener.accept().await {
                 let relay = relay.clone();
-                actix_rt::spawn(async move { relay.pass(fetcher).await });
+                actix_rt::spawn(async move { relay.relay(receiver).await });
             }
         });
     }
 
-    async fn pass(&self, fetcher: TcpStream) {
+    async fn relay(&self, receiver: TcpStream) {
         let agent = TcpStream::connect(self.agent).await.expect("the agent listens");
-        let (mut from_fetcher, mut to_fetcher) = fetcher.into_split();
+        let (mut from_receiver, mut to_receiver) = receiver.into_split();
         let (mut from_agent, mut to_agent) = agent.into_split();
-        let asks = tokio::io::copy(&mut from_fetcher, &mut to_agent);
-        let answers = async {
+        let requests = tokio::io::copy(&mut from_receiver, &mut to_agent);
+        let replies = async {
             let mut bytes = vec![0; 64 * 1024];
             while let Ok(count @ 1..) = from_agent.read(&mut bytes).await {
-                if self.passes.get() < count {
-                    self.passes.set(0);
-                    self.held.set(self.held.get() + count);
+                if self.bytes_left.get() < count {
+                    self.bytes_left.set(0);
+                    self.bytes_held.set(self.bytes_held.get() + count);
                 } else {
-                    self.passes.set(self.passes.get() - count);
-                    to_fetcher.write_all(&bytes[..count]).await.expect("the fetcher is there");
+                    self.bytes_left.set(self.bytes_left.get() - count);
+                    to_receiver
+                        .write_all(&bytes[..count])
+                        .await
+                        .expect("the receiver is connected");
                 }
             }
         };
-        tokio::join!(asks, answers).0.ok();
+        tokio::join!(requests, replies).0.ok();
     }
 }
 
-/// Guards against weights that fill a link when it narrows: live requests queue behind them and arrive when
-/// their callers have left.
+/// Guards against live requests that arrive after their callers have disconnected: when a link
+/// becomes slow, they queue behind the weights in flight on it.
 #[actix_rt::test]
-async fn little_is_on_its_way_when_a_link_narrows() {
+async fn few_bytes_are_in_flight_when_a_link_becomes_slow() {
     const CHUNK_BYTES: usize = 48 * 1024;
     // Half a second of a link of 0.6 Mbit/s.
-    const MOST_HELD: usize = 37_500;
+    const MAX_HELD_BYTES: usize = 37_500;
     let secret = PeerSecret::derive("a token of the test");
     let (origin, origin_address) = ScriptedOrigin::start(host(19)).await;
     origin.chunk_bytes.set(CHUNK_BYTES);
     let serve =
         |peers, number| FakeControlMember::start(origin_address, peers, host(number), secret);
     let port = free_port(host(11));
-    let (_, _holders_control, seed) = serve(Vec::new(), 11);
-    let (_, _holder) = start_agent(host(11), port, &seed, secret, PlannerPolicy::default()).await;
+    let (_, _senders_control, seed) = serve(Vec::new(), 11);
+    let (_, _sender) = start_agent(host(11), port, &seed, secret, PlannerPolicy::default()).await;
     wait_until(|| origin.given.get() >= CHUNKS).await;
     let relay = Rc::new(StallingRelay {
         agent: SocketAddr::new(host(11), port),
-        passes: Cell::new(2 * CHUNK_BYTES),
-        held: Cell::new(0),
+        bytes_left: Cell::new(2 * CHUNK_BYTES),
+        bytes_held: Cell::new(0),
     });
     let relays = 12..12 + OTHERS;
     for number in relays.clone() {
         relay.start(TcpListener::bind((host(number), port)).expect("a free port"));
     }
-    let (_, _fetchers_control, seed) = serve(relays.map(peer).collect(), 18);
+    let (_, _receivers_control, seed) = serve(relays.map(peer).collect(), 18);
     let planner = PlannerPolicy { seeders: 0, fetches_per_peer: 1, ..PlannerPolicy::default() };
-    let (_, _fetcher) = start_agent(host(18), port, &seed, secret, planner).await;
-    wait_until(|| relay.passes.get() == 0).await;
-    // What was asked for before comes over loopback by then.
+    let (_, _receiver) = start_agent(host(18), port, &seed, secret, planner).await;
+    wait_until(|| relay.bytes_left.get() == 0).await;
+    // By then the replies to all earlier requests have arrived over loopback.
     tokio::time::sleep(Duration::from_millis(400)).await;
-    assert!(relay.held.get() <= MOST_HELD, "{} bytes were on their way", relay.held.get());
+    assert!(
+        relay.bytes_held.get() <= MAX_HELD_BYTES,
+        "{} bytes were in flight, expected at most {MAX_HELD_BYTES}",
+        relay.bytes_held.get()
+    );
 }
 
-/// Guards against entries that know nothing of a narrowed link while no weights are spread: live requests
-/// queue before it and arrive when their callers have left.
+/// Guards against entries that do not know of a slow link because no weights are transferred over
+/// it: live requests queue at the link and arrive after their callers have disconnected.
 #[actix_rt::test]
-async fn an_agent_reports_a_narrow_link_although_no_weights_are_spread() {
+async fn an_agent_reports_a_slow_link_while_no_weights_are_transferred() {
     let secret = PeerSecret::derive("a token of the test");
     let delay = Rc::new(Cell::new(Duration::ZERO));
     let (port, _others) = start_others(&delay, secret);
@@ -291,7 +299,7 @@
     let (engine, _agent) = start_agent(host(1), port, &seed, secret, planner).await;
     engine.version.set(1);
     wait_until(|| member.link_delay.get() == Some(0)).await;
-    // Answers have come by now, or the next ones are awaited in vain.
+    // By then every agent has replied to a probe; without a first reply its delay is not measured.
     tokio::time::sleep(Duration::from_millis(500)).await;
     delay.set(Duration::from_millis(1_200));
     wait_until(|| member.link_delay.get().is_some_and(|millis| millis >= 800)).await;
--- a/tests/all/fleet/weights.rs
+++ b/tests/all/fleet/weights.rs
@@ -1,4 +1,5 @@
-//! Named versions reach engines whole, whatever is spoilt on the way.
+//! Published versions are loaded by every engine complete and intact, whatever is corrupted on the
+//! way.
 
 use super::{
     engines::{CHUNKS, ScriptedEngine},
@@ -7,190 +8,191 @@
 use std::{rc::Rc, time::Duration};
 
 #[actix_rt::test]
-async fn a_named_version_reaches_every_engine_and_the_origin_gives_it_about_once() {
-    let mut bed = WeightsFixture::start(5, true).await;
-    bed.wait_until_loaded(1).await;
-    let before = bed.origin.given.get();
-    bed.publish(2).await;
-    bed.wait_until_loaded(2).await;
-    let given = bed.origin.given.get() - before;
-    assert!(given <= CHUNKS * 2, "{given} chunks drawn for {CHUNKS}");
-    // One that comes later is brought to the newest version by its peers.
-    bed.add().await;
-    bed.wait_until_loaded(2).await;
-    assert!(bed.origin.given.get() - before <= CHUNKS * 2 + CHUNKS / 2);
+async fn a_published_version_is_loaded_everywhere_and_fetched_from_the_origin_about_once() {
+    let mut fixture = WeightsFixture::start(5, true).await;
+    fixture.wait_until_loaded(1).await;
+    let before = fixture.origin.given.get();
+    fixture.publish(2).await;
+    fixture.wait_until_loaded(2).await;
+    let fetched = fixture.origin.given.get() - before;
+    assert!(fetched <= CHUNKS * 2, "{fetched} chunks fetched for a version of {CHUNKS}");
+    // An engine added later gets the newest version from peers.
+    fixture.add().await;
+    fixture.wait_until_loaded(2).await;
+    assert!(fixture.origin.given.get() - before <= CHUNKS * 2 + CHUNKS / 2);
 }
 
-/// What users would see: answers from spoilt weights. Chunks are spoilt on their way from the
-/// origin, and staged ones turn bad where they lie; the engine takes whatever is staged. Nothing
-/// but the whole version may be staged when it is ordered.
+/// Guards against answers from corrupted weights. Chunks are corrupted in transit from the origin
+/// and while staged, and the engine loads whatever is staged. All chunks of the version must be
+/// staged intact when the engine is ordered to load it.
 #[actix_rt::test]
-async fn spoilt_and_rotten_chunks_never_reach_an_engine() {
-    let bed = WeightsFixture::start(3, true).await;
-    bed.wait_until_loaded(1).await;
-    bed.origin.spoil_chunks.set(5);
-    for engine in &bed.engines {
+async fn an_engine_never_loads_corrupted_chunks() {
+    let fixture = WeightsFixture::start(3, true).await;
+    fixture.wait_until_loaded(1).await;
+    fixture.origin.spoil_chunks.set(5);
+    for engine in &fixture.engines {
         engine.rot.set(4);
     }
-    bed.publish(2).await;
-    bed.wait_until_loaded(2).await;
+    fixture.publish(2).await;
+    fixture.wait_until_loaded(2).await;
 }
 
-/// What users would see: a version that never arrives. The list of digests itself is spoilt, so
-/// every sound chunk looks bad; the agents must doubt the list and ask for it anew.
+/// Guards against a version that is never loaded. A digest in the list itself is corrupted, so the
+/// intact chunk does not match it; the agents must discard the list and request it again.
 #[actix_rt::test]
-async fn spoilt_digests_are_doubted_in_the_end() {
-    let bed = WeightsFixture::start(2, true).await;
-    bed.wait_until_loaded(1).await;
-    bed.origin.spoil_digests.set(1);
-    bed.publish(2).await;
-    bed.wait_until_loaded(2).await;
+async fn a_corrupted_digest_list_is_requested_again() {
+    let fixture = WeightsFixture::start(2, true).await;
+    fixture.wait_until_loaded(1).await;
+    fixture.origin.spoil_digests.set(1);
+    fixture.publish(2).await;
+    fixture.wait_until_loaded(2).await;
 }
 
-/// What users would see: an engine that is up and serves nobody. It restarts and holds nothing,
-/// while its staged chunks are still there; the agent orders it to take them again.
+/// Guards against an engine that is up and serves no requests. It restarts with nothing loaded
+/// while its chunks are still staged; the agent must order it to load them again.
 #[actix_rt::test]
-async fn a_restarted_engine_gets_its_weights_back() {
-    let bed = WeightsFixture::start(2, true).await;
-    bed.publish(2).await;
-    bed.wait_until_loaded(2).await;
-    let drawn = bed.origin.given.get();
-    bed.engines[0].version.set(0);
-    bed.wait_until_loaded(2).await;
-    assert_eq!(bed.origin.given.get(), drawn, "nothing is fetched again");
+async fn a_restarted_engine_loads_its_staged_weights() {
+    let fixture = WeightsFixture::start(2, true).await;
+    fixture.publish(2).await;
+    fixture.wait_until_loaded(2).await;
+    let before = fixture.origin.given.get();
+    fixture.engines[0].version.set(0);
+    fixture.wait_until_loaded(2).await;
+    assert_eq!(fixture.origin.given.get(), before, "staged chunks were fetched again");
 }
 
 #[actix_rt::test]
-async fn versions_named_in_quick_succession_end_with_the_newest() {
-    let bed = WeightsFixture::start(3, true).await;
+async fn the_newest_of_versions_published_in_quick_succession_is_loaded() {
+    let fixture = WeightsFixture::start(3, true).await;
     for version in 2..=5 {
-        bed.publish(version).await;
+        fixture.publish(version).await;
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
-    bed.wait_until_loaded(5).await;
+    fixture.wait_until_loaded(5).await;
 }
 
-/// What users would see: no service although every instance holds newer weights than those in use. A
-/// version is overtaken before the engines took it, and the newer one cannot be had. The overtaken
-/// one must be taken before the bound is over, also by an engine that is added then.
+/// Guards against an interruption of service although every instance has newer weights than those
+/// loaded. A version is superseded before the engines load it, and the newer one cannot be fetched.
+/// The engines must load the superseded one before the staleness bound ends, an engine added then
+/// too.
 #[actix_rt::test]
-async fn an_overtaken_version_is_taken_when_the_newest_cannot_be_had() {
-    let bed = WeightsFixture::start_before_superseding().await;
-    bed.publish(3).await;
-    bed.wait_until_loaded(2).await;
-    bed.origin.lost_from.set(None);
-    bed.wait_until_loaded(3).await;
+async fn a_superseded_version_is_loaded_when_the_newest_cannot_be_fetched() {
+    let fixture = WeightsFixture::start_before_superseding().await;
+    fixture.publish(3).await;
+    fixture.wait_until_loaded(2).await;
+    fixture.origin.lost_from.set(None);
+    fixture.wait_until_loaded(3).await;
 }
 
-/// What users would see: an answer cut off for good. An engine that is told to cut its requests off
-/// may be told so only where all of them can go on elsewhere.
+/// Guards against truncated answers. An engine may be ordered to cut off its running requests only
+/// if all of them can be resumed elsewhere.
 #[actix_rt::test]
-async fn engines_cut_requests_off_only_where_they_may_go_on() {
+async fn engines_cut_off_only_requests_that_can_be_resumed() {
     for (resumable, mode) in [(true, "preempt"), (false, "queue")] {
-        let bed = WeightsFixture::start(1, resumable).await;
-        bed.publish(2).await;
-        bed.wait_until_loaded(2).await;
-        assert_eq!(bed.engines[0].modes.borrow().last().map(String::as_str), Some(mode));
+        let fixture = WeightsFixture::start(1, resumable).await;
+        fixture.publish(2).await;
+        fixture.wait_until_loaded(2).await;
+        assert_eq!(fixture.engines[0].modes.borrow().last().map(String::as_str), Some(mode));
     }
 }
 
-/// What users would see: every stream that runs while an engine takes new weights pauses for the
-/// third of a second in which another engine reads its prompt again. Most answers end within that
-/// time anyway, so an engine is left by new requests first and ordered when its answers have ended.
+/// Guards against a pause in every stream that runs while its engine loads new weights: for a third
+/// of a second another engine repeats the prefill of its prompt. Most answers end within that time
+/// anyway, so the engine must be drained first and get the order when its answers have ended.
 #[actix_rt::test]
-async fn running_answers_may_end_before_an_engine_takes_new_weights() {
-    let mut bed = WeightsFixture::start(0, true).await;
-    bed.fleet.settings.version_limit = Duration::from_secs(8);
-    bed.add().await;
-    bed.wait_until_loaded(1).await;
-    bed.engines[0].running.set(3);
-    bed.publish(2).await;
-    bed.wait_until_loaded(2).await;
-    assert_eq!(bed.engines[0].cut.get(), 0, "answers were cut off that would have ended");
+async fn an_engine_is_drained_before_it_loads_new_weights() {
+    let mut fixture = WeightsFixture::start(0, true).await;
+    fixture.fleet.settings.version_limit = Duration::from_secs(8);
+    fixture.add().await;
+    fixture.wait_until_loaded(1).await;
+    fixture.engines[0].running.set(3);
+    fixture.publish(2).await;
+    fixture.wait_until_loaded(2).await;
+    assert_eq!(fixture.engines[0].cut.get(), 0, "answers that were about to end were cut off");
 }
 
-/// What users would see: a service that nobody may use for longer than need be. The weights come
-/// so late that no request may begin on the old ones any more; waiting for running answers would
-/// only lengthen that.
+/// Guards against a service that is unavailable for longer than necessary. The weights arrive after
+/// the staleness bound, when no request may begin on the old ones any more; draining the engine
+/// would only prolong that.
 #[actix_rt::test]
-async fn nobody_waits_for_running_answers_behind_the_bound() {
-    let bed = WeightsFixture::start(1, true).await;
-    bed.wait_until_loaded(1).await;
-    bed.engines[0].running.set(1_000);
-    bed.publish(2).await;
-    bed.wait_until_loaded(2).await;
-    assert!(bed.engines[0].cut.get() > 990, "it was ordered at once");
+async fn an_engine_is_not_drained_after_the_staleness_bound() {
+    let fixture = WeightsFixture::start(1, true).await;
+    fixture.wait_until_loaded(1).await;
+    fixture.engines[0].running.set(1_000);
+    fixture.publish(2).await;
+    fixture.wait_until_loaded(2).await;
+    assert!(fixture.engines[0].cut.get() > 990, "the order must not wait for running answers");
 }
 
-/// What operators would see: a whole copy of the weights drawn from the origin at every start of the
-/// system. Agents are up before their engines; what is staged beside an engine that does not answer
-/// yet must not be taken for missing.
+/// Guards against a complete copy of the weights fetched from the origin at every start of the
+/// system. Agents are up before their engines; chunks staged at an engine that does not reply yet
+/// must not be treated as missing.
 #[actix_rt::test]
-async fn what_is_staged_is_not_fetched_while_the_engine_starts() {
-    let mut bed = WeightsFixture::start(0, true).await;
-    let target = bed.unused_target().await;
+async fn staged_chunks_are_not_fetched_while_the_engine_starts() {
+    let mut fixture = WeightsFixture::start(0, true).await;
+    let target = fixture.unused_target().await;
     let engine = Rc::new(ScriptedEngine::default());
     engine.stage(1);
-    bed.add_at(engine.clone(), target).await;
+    fixture.add_at(engine.clone(), target).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     let listener = tokio::net::TcpListener::bind(target).await.expect("the port is still free");
     engine.serve_at(listener);
-    bed.wait_until_loaded(1).await;
-    assert_eq!(bed.origin.given.get(), 0, "chunks were drawn that are staged");
+    fixture.wait_until_loaded(1).await;
+    assert_eq!(fixture.origin.given.get(), 0, "chunks that are staged were fetched");
 }
 
-/// What users would see: added engines that serve a second later than they could. Their instances are
-/// there before them, and what the other engines hold must be at hand when they are up.
+/// Guards against added engines that serve a second later than they could. Their instances are up
+/// before them, and the version that the other engines have loaded must be here when they are up.
 #[actix_rt::test]
 async fn an_added_engines_weights_are_fetched_while_it_starts() {
-    let mut bed = WeightsFixture::start(2, true).await;
-    bed.wait_until_loaded(1).await;
-    let drawn = bed.origin.given.get();
-    let target = bed.unused_target().await;
+    let mut fixture = WeightsFixture::start(2, true).await;
+    fixture.wait_until_loaded(1).await;
+    let before = fixture.origin.given.get();
+    let target = fixture.unused_target().await;
     let engine = Rc::new(ScriptedEngine::default());
-    bed.add_at(engine.clone(), target).await;
+    fixture.add_at(engine.clone(), target).await;
     let none = "egretseam_stager_chunks_from_peers_total 0\n";
-    bed.fleet.wait_for_metrics(target.ip(), |text| !text.contains(none)).await;
+    fixture.fleet.wait_for_metrics(target.ip(), |text| !text.contains(none)).await;
     let listener = tokio::net::TcpListener::bind(target).await.expect("the port is still free");
     engine.serve_at(listener);
-    bed.wait_until_loaded(1).await;
-    assert!(bed.origin.given.get() < drawn + CHUNKS, "peers gave most of it");
+    fixture.wait_until_loaded(1).await;
+    assert!(fixture.origin.given.get() < before + CHUNKS, "peers must provide some of the chunks");
 }
 
-/// What users would see: no service for seconds after the origin of weights is back. Its link is busy,
-/// so that the first list of digests is on its way for most of a second; every agent that waits for it
-/// asks the origin itself, and the lists of hundreds of agents go before the first chunk. A few agents
-/// ask in turn; the others have the list from each other.
+/// Guards against seconds without service after an outage of the origin. Its link is busy, so that
+/// the first digest list takes most of a second; if every agent that waits for the list requested
+/// it from the origin, the lists of hundreds of agents would be sent before the first chunk. A few
+/// agents must request it in order of rank, and the others get it from their peers.
 #[actix_rt::test]
-async fn the_origin_gives_few_lists_over_a_busy_link() {
-    let bed = WeightsFixture::start(12, true).await;
-    bed.wait_until_loaded(1).await;
-    bed.origin.list_delay.set(Duration::from_millis(800));
-    let before = bed.origin.lists_given.get();
-    bed.publish(2).await;
-    bed.wait_until_loaded(2).await;
-    let given = bed.origin.lists_given.get() - before;
-    assert!(given <= 9, "{given} lists for 12 agents");
+async fn few_agents_request_digests_from_an_origin_with_a_busy_link() {
+    let fixture = WeightsFixture::start(12, true).await;
+    fixture.wait_until_loaded(1).await;
+    fixture.origin.list_delay.set(Duration::from_millis(800));
+    let before = fixture.origin.lists_given.get();
+    fixture.publish(2).await;
+    fixture.wait_until_loaded(2).await;
+    let lists = fixture.origin.lists_given.get() - before;
+    assert!(lists <= 9, "the origin sent {lists} digest lists for 12 agents");
 }
 
-/// What operators would see: a copy of the weights for each instance between regions at every start of
-/// the system. One engine is up before the others, its agent has the version and says so at once; the
-/// agents of those that still start must not fetch what is staged beside them.
+/// Guards against a copy of the weights sent between regions for each instance at every start of
+/// the system. One engine is up before the others, and its agent has the version and reports it at
+/// once; the agents of engines that are still starting must not fetch the chunks staged at these.
 #[actix_rt::test]
-async fn what_is_staged_is_not_fetched_from_an_agent_that_started_too() {
-    let mut bed = WeightsFixture::start(0, true).await;
-    let (engine, target) = ScriptedEngine::start(bed.fleet.host()).await;
+async fn staged_chunks_are_not_fetched_from_an_agent_that_started_too() {
+    let mut fixture = WeightsFixture::start(0, true).await;
+    let (engine, target) = ScriptedEngine::start(fixture.fleet.host()).await;
     engine.stage(1);
-    bed.add_at(engine, target).await;
-    let target = bed.unused_target().await;
+    fixture.add_at(engine, target).await;
+    let target = fixture.unused_target().await;
     let late = Rc::new(ScriptedEngine::default());
     late.stage(1);
-    bed.add_at(late.clone(), target).await;
-    bed.fleet.wait_until(|| bed.engines[0].version.get() == 1).await;
+    fixture.add_at(late.clone(), target).await;
+    fixture.fleet.wait_until(|| fixture.engines[0].version.get() == 1).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     let listener = tokio::net::TcpListener::bind(target).await.expect("the port is still free");
     late.serve_at(listener);
-    bed.wait_until_loaded(1).await;
+    fixture.wait_until_loaded(1).await;
     let none = "egretseam_stager_chunks_from_peers_total 0\n";
-    bed.fleet.wait_for_metrics(target.ip(), |text| text.contains(none)).await;
+    fixture.fleet.wait_for_metrics(target.ip(), |text| text.contains(none)).await;
 }
--- a/tests/all/fleet/weights_bed.rs
+++ b/tests/all/fleet/weights_bed.rs
@@ -1,4 +1,4 @@
-//! A fleet whose targets are scripted engines with agents, and an origin of weights.
+//! Test fixture: a fleet whose targets are scripted engines with agents, and an origin of weights.
 
 use super::{
     bed::{FleetBed, dialects, usual_config},
@@ -33,7 +33,7 @@
 }
 
 impl WeightsFixture {
-    /// Starts so many engines with agents. Before a version is named they bring version 1.
+    /// Starts `count` engines with agents. Until a version is published they load version 1.
     pub(super) async fn start(count: usize, resumable: bool) -> Self {
         let mut fleet = FleetBed::start().await;
         let (origin, address) = ScriptedOrigin::start(fleet.host()).await;
@@ -47,8 +47,8 @@
         this
     }
 
-    /// Starts three engines that take their turns. Version 2 is here whole, the first of them may hold
-    /// it, and version 3 will not be had.
+    /// Starts three engines, which load a version one after the other. The agents have version 2
+    /// complete, the first engine may have loaded it, and version 3 cannot be fetched.
     pub(super) async fn start_before_superseding() -> Self {
         let mut this = Self::start(0, true).await;
         this.fleet.settings.version_limit = Duration::from_secs(8);
@@ -57,15 +57,15 @@
         }
         this.wait_until_loaded(1).await;
         this.origin.lost_from.set(Some(3));
-        let drawn = this.origin.given.get();
+        let before = this.origin.given.get();
         this.publish(2).await;
-        this.fleet.wait_until(|| this.origin.given.get() >= drawn + CHUNKS).await;
-        // Far enough apart that the overtaken version's use is worth a switch.
+        this.fleet.wait_until(|| this.origin.given.get() >= before + CHUNKS).await;
+        // Versions must be published so far apart that loading the superseded one is worthwhile.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         this
     }
 
-    /// Starts so many engines, the first of which leaves its order for version 2 unanswered.
+    /// Starts `count` engines. The first one does not reply to its order to load version 2.
     pub(super) async fn start_with_outstanding_order(count: usize) -> (Self, Rc<ScriptedEngine>) {
         let this = Self::start(count, true).await;
         this.wait_until_loaded(1).await;
@@ -82,7 +82,7 @@
         self.add_at(engine, target).await;
     }
 
-    /// Address of a target that does not answer yet.
+    /// Address of a target that does not listen yet.
     pub(super) async fn unused_target(&mut self) -> SocketAddr {
         let host = self.fleet.host();
         let listener = tokio::net::TcpListener::bind((host, 0)).await.expect("a free port");
@@ -96,28 +96,30 @@
         self.targets.push(target);
     }
 
-    /// Ends the agent of the engine at `index`, as a kill does.
+    /// Stops the agent of the engine at `index` without a shutdown, as SIGKILL does.
     pub(super) fn stop_agent(&mut self, index: usize) {
-        let agent = self.agents[index].take().expect("it runs");
+        let agent = self.agents[index].take().expect("the agent is running");
         agent.stop();
-        agent.join().expect("its thread ends");
+        agent.join().expect("the agent's thread ends");
     }
 
-    /// Starts it again.
+    /// Starts the agent of the engine at `index` after [`Self::stop_agent`].
     pub(super) fn restart_agent(&mut self, index: usize) {
         self.agents[index] = Some(self.start_agent(self.targets[index]));
     }
 
+    /// Registers a target by a heartbeat.
     async fn announce(&self, target: SocketAddr) {
-        let beat = json!({
+        let heartbeat = json!({
             "service": "runners", "address": target.to_string(), "zone": "z1", "slots": 4,
             "state": "ready", "coldLeftMs": 0, "models": [], "seq": 1
         });
         let path = format!("/instances/e-{}/heartbeat", target.ip());
-        assert_eq!(self.fleet.call("POST", &path, &beat.to_string()).await.0, 200);
+        assert_eq!(self.fleet.call("POST", &path, &heartbeat.to_string()).await.0, 200);
     }
 
-    /// Starts an agent on a thread of its own, so that it can be ended as a kill ends a process.
+    /// Starts an agent on a thread of its own, so that it can be stopped as SIGKILL stops a
+    /// process.
     fn start_agent(&self, target: SocketAddr) -> Arbiter {
         let settings = FleetSettings {
             host: target.ip(),
@@ -130,7 +132,7 @@
         };
         let arbiter = Arbiter::new();
         arbiter.spawn_fn(move || {
-            let agent = FleetRuntime::start(settings, &dialects()).expect("it starts");
+            let agent = FleetRuntime::start(settings, &dialects()).expect("the agent starts");
             actix_rt::spawn(async move {
                 let _agent = agent;
                 std::future::pending::<()>().await;
@@ -144,20 +146,21 @@
         assert_eq!(self.fleet.call("POST", "/version-put", &body).await.0, 200);
     }
 
+    /// Waits until every engine has loaded `version`.
     pub(super) async fn wait_until_loaded(&self, version: u64) {
-        let all_hold = || self.engines.iter().all(|engine| engine.version.get() == version);
-        self.fleet.wait_until(all_hold).await;
+        let all_loaded = || self.engines.iter().all(|engine| engine.version.get() == version);
+        self.fleet.wait_until(all_loaded).await;
         self.assert_complete_loads();
     }
 
-    /// Checks that no engine has taken weights that were not whole.
+    /// Checks that every order so far found all chunks of its version staged intact.
     pub(super) fn assert_complete_loads(&self) {
         for engine in &self.engines {
             let bad = engine.bad_orders.get();
             assert_eq!(
                 bad,
                 0,
-                "an engine took weights that were not whole; its orders:\n{}",
+                "an engine loaded incomplete or corrupted weights; its orders:\n{}",
                 engine.history()
             );
         }
