--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -144,7 +144,7 @@
     pub(crate) started_at: Instant,
     /// Whether the next digest list must come from the origin, because the last one was wrong.
     pub(crate) requires_origin_digests: Cell<bool>,
-    /// Whether chunks of the version that the engine is to load have stopped arriving.
+    /// Whether the engine lacks the version that it is to load, and no chunks of it arrive any more.
     stalled: Cell<bool>,
     /// Round-trip times to other agents, from which a slow link of this instance is detected.
     pub(crate) path: RefCell<PathProbe>,
@@ -219,11 +219,11 @@
         self.polling_client.lock().await.call(&request(call, ENGINE_CALL_TIMEOUT)).await
     }
 
-    /// Sets whether chunks of the wanted version have stopped arriving, and reports a change, so
-    /// that entries know whether the engine is about to get its weights.
+    /// Sets whether the transfer of the version that the engine lacks has stalled, and reports a
+    /// change, so that entries know whether the engine is about to get its weights.
     pub(crate) fn set_stalled(&self, stalled: bool) {
         if self.stalled.replace(stalled) != stalled {
-            tracing::info!(stalled, "the wanted version's chunks stopped or resumed arriving");
+            tracing::info!(stalled, "a stall in the transfer of the wanted version began or ended");
             self.report_due.notify_one();
         }
     }
