--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -1,6 +1,6 @@
 //! Storage of verified chunks, and the service that uploads them to other agents.
 
-use crate::{digests::WeightDigests, order_ledger::WholeWeights, shared::StagerShared};
+use crate::{digests::WeightDigests, order_tracker::CompleteWeights, shared::StagerShared};
 use bytes::Bytes;
 use egretseam_proto::ModelName;
 use egretseam_rpc::{
@@ -63,7 +63,7 @@
     /// Estimated time until the last chunk arrives, at the pace so far; `None` if chunks have
     /// stopped arriving or none has arrived.
     pub(crate) fn time_to_complete(&self, now: Instant) -> Option<Duration> {
-        self.pace.expected_whole(self.digests.count(), now)
+        self.pace.time_to_complete(self.digests.count(), now)
     }
 
     /// Adds a verified chunk.
@@ -71,7 +71,7 @@
         if self.held.insert(index) {
             let now = Instant::now();
             self.chunks[index as usize] = Some(bytes);
-            self.pace.note(self.held.count(), now);
+            self.pace.record(self.held.count(), now);
             if self.held.is_full() {
                 self.completed_at = Some(now);
             }
@@ -80,9 +80,9 @@
     }
 
     /// All chunks, if none is missing.
-    pub(crate) fn complete(&self) -> Option<WholeWeights> {
+    pub(crate) fn complete(&self) -> Option<CompleteWeights> {
         let chunks = self.chunks.iter().cloned().collect::<Option<Vec<Bytes>>>()?;
-        Some(WholeWeights { key: self.key.clone(), digests: self.digests.clone(), chunks })
+        Some(CompleteWeights { key: self.key.clone(), digests: self.digests.clone(), chunks })
     }
 
     pub(crate) fn chunk(&self, index: u32) -> Option<Bytes> {
--- a/crates/stager/src/downloads.rs
+++ b/crates/stager/src/downloads.rs
@@ -2,7 +2,9 @@
 
 use bytes::{Bytes, BytesMut};
 use egretseam_rpc::{CallError, ChunkLink, PartCall, PartReceipt, PartReply, WeightsKey};
-use egretseam_swarm::{LinkDelay, MOST_FAR_PARTS, MOST_NEAR_PARTS, PART_BYTES, TransferWindow};
+use egretseam_swarm::{
+    LinkMonitor, MAX_CROSS_ZONE_PARTS, MAX_SAME_ZONE_PARTS, PART_BYTES, TransferWindow,
+};
 use std::{cell::RefCell, rc::Rc, time::Duration};
 use tokio::{sync::Notify, time::Instant};
 
@@ -53,7 +55,7 @@
 pub(crate) struct PartDownloads {
     same_zone: RefCell<TransferWindow>,
     cross_zone: RefCell<TransferWindow>,
-    link: RefCell<LinkDelay>,
+    link: RefCell<LinkMonitor>,
     /// Wakes those who wait for room in a window.
     part_ended: Notify,
 }
@@ -64,9 +66,9 @@
         let expected = PART_BYTES as f64 / bytes_per_second.max(1) as f64;
         let expected = Duration::from_secs_f64(expected) + ROUND_TRIP;
         Self {
-            same_zone: RefCell::new(TransferWindow::new(MOST_NEAR_PARTS)),
-            cross_zone: RefCell::new(TransferWindow::new(MOST_FAR_PARTS)),
-            link: RefCell::new(LinkDelay::new(expected)),
+            same_zone: RefCell::new(TransferWindow::new(MAX_SAME_ZONE_PARTS)),
+            cross_zone: RefCell::new(TransferWindow::new(MAX_CROSS_ZONE_PARTS)),
+            link: RefCell::new(LinkMonitor::new(expected)),
             part_ended: Notify::new(),
         }
     }
@@ -80,11 +82,11 @@
 
     /// Checks for parts in flight that are late, and adapts the windows and the link's delay.
     pub(crate) fn check_late(&self, now: Instant) {
-        self.cross_zone.borrow_mut().look(now);
+        self.cross_zone.borrow_mut().check_late(now);
         let mut same_zone = self.same_zone.borrow_mut();
-        same_zone.look(now);
-        if let Some(quiet) = same_zone.quiet(now) {
-            self.link.borrow_mut().note_quiet(quiet, same_zone.under_way(), now);
+        same_zone.check_late(now);
+        if let Some(elapsed) = same_zone.time_since_arrival(now) {
+            self.link.borrow_mut().record_no_arrival(elapsed, same_zone.in_flight(), now);
         }
     }
 
@@ -99,7 +101,7 @@
 
     /// Estimated fraction of the link's configured rate that is available.
     pub(crate) fn rate_fraction(&self, now: Instant) -> f64 {
-        self.link.borrow().share(now)
+        self.link.borrow().rate_fraction(now)
     }
 
     /// Downloads a chunk, one part after the other.
@@ -159,7 +161,7 @@
             self.part_ended.notified().await;
         }
         let started_at = Instant::now();
-        let others = window.borrow().under_way();
+        let others = window.borrow().in_flight();
         let id = window.borrow_mut().begin(started_at);
         PartGuard { downloads: self, is_same_zone, id, others, started_at }
     }
@@ -183,7 +185,7 @@
         let window = self.downloads.window(self.is_same_zone);
         let measures_link = window.borrow_mut().end(self.id, took, now);
         if measures_link && self.is_same_zone {
-            self.downloads.link.borrow_mut().note(took, self.others, now);
+            self.downloads.link.borrow_mut().record(took, self.others, now);
         }
     }
 }
--- a/crates/stager/src/engine.rs
+++ b/crates/stager/src/engine.rs
@@ -31,17 +31,17 @@
 /// Looks once; returns whether the engine answered.
 pub(crate) async fn look(shared: &StagerShared) -> bool {
     let asked_at = Instant::now();
-    let call = shared.dialect.report();
+    let call = shared.dialect.report_request();
     let report = match shared.poll_engine(&call).await {
-        Ok(reply) if reply.status == 200 => shared.dialect.read_report(&reply.body),
+        Ok(reply) if reply.status == 200 => shared.dialect.parse_report(&reply.body),
         Ok(reply) => Err(format!("status {}", reply.status)),
         Err(error) => Err(error.to_string()),
     };
     match report {
         Ok(report) => {
             shared.report_at.set(asked_at);
-            shared.orders.borrow_mut().note_begun(report.orders_begun);
-            shared.fence.borrow_mut().note_report(shared.report.borrow().as_ref(), &report);
+            shared.orders.borrow_mut().apply_orders_begun(report.orders_begun);
+            shared.fence.borrow_mut().apply_report(shared.report.borrow().as_ref(), &report);
             note_versions(shared, &report);
             shared.report.send_if_modified(|held| {
                 let changed = held.as_ref().is_none_or(|held| {
--- a/crates/stager/src/lib.rs
+++ b/crates/stager/src/lib.rs
@@ -22,7 +22,7 @@
 mod older;
 mod options;
 mod order_fence;
-mod order_ledger;
+mod order_tracker;
 mod probe;
 mod ranks;
 mod runtime;
@@ -34,11 +34,11 @@
 mod work;
 
 pub use crate::{
-    dialect::{EngineCall, EngineDialect, EngineReport, OrderOutcome, WeightsOrder},
+    dialect::{EngineDialect, EngineReport, EngineRequest, LoadOrder, OrderOutcome},
     digest_search::OriginSchedule,
     digests::WeightDigests,
     options::{StagerListeners, StagerOptions},
     order_fence::OrderFence,
-    order_ledger::{OrderLedger, WholeWeights},
+    order_tracker::{CompleteWeights, OrderTracker},
     runtime::{StagerRuntime, StartError},
 };
--- a/crates/stager/src/probe.rs
+++ b/crates/stager/src/probe.rs
@@ -44,7 +44,7 @@
         let Some(shared) = shared.upgrade() else { return };
         let now = Instant::now();
         if now.saturating_duration_since(checked_at) > PROCESS_PAUSE {
-            shared.path.borrow_mut().note_stopped(now);
+            shared.path.borrow_mut().record_process_pause(now);
         }
         checked_at = now;
         if plan.has_changed().unwrap_or(false) {
@@ -95,18 +95,18 @@
     let name = peer_name(target);
     loop {
         let Some(held) = shared.upgrade() else { return };
-        held.path.borrow_mut().note_asked(&name, Instant::now());
+        held.path.borrow_mut().record_probe_sent(&name, Instant::now());
         drop(held);
         let reply = link.echo().await;
         let Some(held) = shared.upgrade() else { return };
         let pause = match reply {
             Ok(()) => {
-                held.path.borrow_mut().note_answered(&name, Instant::now());
+                held.path.borrow_mut().record_reply(&name, Instant::now());
                 PROBE_PAUSE
             }
             Err(error) => {
                 tracing::debug!(%error, "a peer did not reply to a probe");
-                held.path.borrow_mut().note_failed(&name);
+                held.path.borrow_mut().record_unreachable(&name);
                 PAUSE_AFTER_FAILURE
             }
         };
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -2,18 +2,18 @@
 
 use crate::{
     chunks::ChunkStore,
-    dialect::{EngineCall, EngineDialect, EngineReport},
+    dialect::{EngineDialect, EngineReport, EngineRequest},
     downloads::PartDownloads,
     older::OlderVersion,
     options::StagerOptions,
     order_fence::OrderFence,
-    order_ledger::OrderLedger,
+    order_tracker::OrderTracker,
     uploads::PartUploads,
 };
 use egretseam_h1::{CallReply, CallRequest, ExchangeError, KeptClient};
 use egretseam_http::DaemonMetrics;
 use egretseam_rpc::{WeightsKey, WeightsPlan};
-use egretseam_serving::{EngineNews, HeldModel, Incarnation, SwarmPeer};
+use egretseam_serving::{EngineStatus, HeldModel, Incarnation, SwarmPeer};
 use egretseam_swarm::PathProbe;
 use prometheus::IntCounter;
 use std::{
@@ -133,7 +133,7 @@
     pub(crate) switching: Mutex<()>,
     /// The outstanding order. It is kept here because a newer version may cancel the task that
     /// sent it.
-    pub(crate) orders: RefCell<OrderLedger>,
+    pub(crate) orders: RefCell<OrderTracker>,
     /// Fencing tokens of this agent's orders.
     pub(crate) fence: RefCell<OrderFence>,
     /// The last version whose content digest control has recorded on this agent's request.
@@ -201,11 +201,17 @@
     }
 
     /// Calls the engine on the connection for staging and orders.
-    pub(crate) async fn call_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn call_engine(
+        &self,
+        call: &EngineRequest,
+    ) -> Result<CallReply, ExchangeError> {
         self.lock_engine().await.call(call).await
     }
 
-    pub(crate) async fn send_order(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn send_order(
+        &self,
+        call: &EngineRequest,
+    ) -> Result<CallReply, ExchangeError> {
         self.staging_client.lock().await.call(&request(call, ORDER_TIMEOUT)).await
     }
 
@@ -215,7 +221,10 @@
     }
 
     /// Calls the engine on a connection of its own, so that staging does not delay the poll.
-    pub(crate) async fn poll_engine(&self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn poll_engine(
+        &self,
+        call: &EngineRequest,
+    ) -> Result<CallReply, ExchangeError> {
         self.polling_client.lock().await.call(&request(call, ENGINE_CALL_TIMEOUT)).await
     }
 
@@ -254,10 +263,10 @@
     }
 
     /// Status of the engine to report to control; `None` if the last poll failed.
-    pub(crate) fn engine_status(&self) -> Option<EngineNews> {
+    pub(crate) fn engine_status(&self) -> Option<EngineStatus> {
         let report = self.report.borrow();
         let report = report.as_ref()?;
-        Some(EngineNews {
+        Some(EngineStatus {
             address: self.options.target,
             incarnation: report.incarnation,
             models: report.models.clone(),
@@ -275,7 +284,7 @@
 }
 
 impl EngineConnection<'_> {
-    pub(crate) async fn call(&mut self, call: &EngineCall) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn call(&mut self, call: &EngineRequest) -> Result<CallReply, ExchangeError> {
         self.client.call(&request(call, ENGINE_CALL_TIMEOUT)).await
     }
 
@@ -283,7 +292,7 @@
     /// order can only reach the incarnation of the engine that answered that call.
     pub(crate) async fn order_on_same_connection(
         &mut self,
-        call: &EngineCall,
+        call: &EngineRequest,
     ) -> Result<CallReply, ExchangeError> {
         self.client.call_kept(&request(call, ORDER_TIMEOUT)).await
     }
@@ -311,10 +320,10 @@
 }
 
 /// Converts an engine call to a request of the HTTP client.
-pub(crate) fn request(call: &EngineCall, limit: Duration) -> CallRequest<'_> {
+pub(crate) fn request(call: &EngineRequest, limit: Duration) -> CallRequest<'_> {
     CallRequest {
         method: call.method,
-        target: &call.target,
+        target: &call.path_and_query,
         content_type: call.content_type,
         body: &call.body,
         limit,
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -83,7 +83,7 @@
         plan: &WeightsPlan,
         weights: &VersionChunks,
     ) -> Rc<Self> {
-        let policy = PlannerPolicy { seeders: 0, ..shared.options.planner };
+        let policy = PlannerPolicy { max_seeders: 0, ..shared.options.planner };
         Self::with_policy(shared, plan, weights, policy)
     }
 
@@ -168,7 +168,7 @@
         let mut fetches = FetchTasks::default();
         while !self.planner.borrow().have().is_full() {
             let max_chunks = self.shared.downloads.max_concurrent_chunks();
-            self.planner.borrow_mut().set_peer_fetches(max_chunks);
+            self.planner.borrow_mut().set_max_peer_fetches(max_chunks);
             let orders = self.planner.borrow_mut().plan(self.now());
             for order in orders {
                 let (transfer, results) = (self.clone(), results.clone());
@@ -206,7 +206,7 @@
                 self.shared.metrics.chunks_bad.inc();
                 *self.digest_mismatches.borrow_mut().entry(order.chunk).or_insert(0) += 1;
                 let now = self.now();
-                self.planner.borrow_mut().note_failed(order, FetchFailure::Corrupt, now);
+                self.planner.borrow_mut().record_failed(order, FetchFailure::Corrupt, now);
                 return;
             }
             Err(failure) => {
@@ -217,7 +217,7 @@
                     "a chunk could not be fetched"
                 );
                 let now = self.now();
-                self.planner.borrow_mut().note_failed(order, failure, now);
+                self.planner.borrow_mut().record_failed(order, failure, now);
                 return;
             }
         };
@@ -230,7 +230,7 @@
             SourceChoice::Peer(_) => self.shared.metrics.chunks_from_peers.inc(),
         }
         let now = self.now();
-        let is_new = self.planner.borrow_mut().note_fetched(order, now);
+        let is_new = self.planner.borrow_mut().record_fetched(order, now);
         if let Some(weights) = self.shared.chunks.borrow_mut().get_mut(&self.key)
             && is_new
         {
@@ -244,14 +244,14 @@
             SourceChoice::Peer(name) => {
                 let link = self.links.borrow().get(name).cloned();
                 let link = link.ok_or(FetchFailure::Absent)?;
-                let is_same_zone = self.planner.borrow().is_near(name);
+                let is_same_zone = self.planner.borrow().is_same_zone(name);
                 let (key, chunk) = (&self.key, order.chunk);
                 let source = ChunkSource { link: &link, is_same_zone, key, chunk };
                 let result = self.shared.downloads.download_chunk(&source).await;
                 self.shared.adapt_to_link();
                 match result {
                     Ok(chunk) => {
-                        self.planner.borrow_mut().note_queued(name, chunk.queued);
+                        self.planner.borrow_mut().record_queue_delay(name, chunk.queued);
                         Ok(chunk.bytes)
                     }
                     Err(PartError::Absent) => Err(FetchFailure::Absent),
@@ -272,7 +272,8 @@
     }
 
     async fn fetch_from_origin(&self, chunk: u32) -> Result<Bytes, FetchFailure> {
-        let call = self.shared.dialect.origin_chunk(&self.key.model, self.key.version, chunk);
+        let call =
+            self.shared.dialect.origin_chunk_request(&self.key.model, self.key.version, chunk);
         let reply = self.origin.lock().await.call(&request(&call, CHUNK_TIMEOUT)).await;
         self.record_origin_reply(reply.is_ok());
         match reply {
@@ -333,14 +334,14 @@
         let reply = result.ok().flatten();
         if reply.as_ref().is_some_and(|reply| reply.origin_lost) {
             let now = transfer.now();
-            transfer.planner.borrow_mut().note_origin_lost(now);
+            transfer.planner.borrow_mut().record_origin_unreachable(now);
         }
         let held = reply.and_then(|reply| ChunkSet::from_text(&reply.chunks, count));
         let pause = match held {
             Some(held) => {
                 known_count = held.count();
                 let now = transfer.now();
-                transfer.planner.borrow_mut().note_have(&name, held, now);
+                transfer.planner.borrow_mut().apply_have(&name, held, now);
                 transfer.plan_wake.notify_one();
                 if known_count == count {
                     return;
--- a/crates/stager/src/uploads.rs
+++ b/crates/stager/src/uploads.rs
@@ -1,7 +1,7 @@
 //! Limits the parts in flight to other agents and paces them on this instance's link.
 
 use egretseam_rpc::PartReceipt;
-use egretseam_swarm::{LinkBudget, MOST_FAR_PARTS, MOST_NEAR_PARTS, TransferWindow};
+use egretseam_swarm::{LinkPacer, MAX_CROSS_ZONE_PARTS, MAX_SAME_ZONE_PARTS, TransferWindow};
 use indexmap::IndexMap;
 use std::{cell::RefCell, time::Duration};
 use tokio::{sync::Notify, time::Instant};
@@ -38,7 +38,7 @@
         let is_awaited =
             |sent_at: &Instant| now.saturating_duration_since(*sent_at) <= RECEIPT_TIMEOUT;
         self.sent_at.retain(|_, sent_at| is_awaited(sent_at));
-        self.window.look(now);
+        self.window.check_late(now);
         self.window.expire(RECEIPT_TIMEOUT, now);
     }
 }
@@ -46,7 +46,7 @@
 /// Limits and paces the parts that this agent uploads.
 #[derive(Debug)]
 pub(crate) struct PartUploads {
-    link: LinkBudget,
+    link: LinkPacer,
     same_zone: RefCell<SentParts>,
     cross_zone: RefCell<SentParts>,
     /// Wakes those who wait for room in a window.
@@ -57,22 +57,22 @@
     /// No parts in flight on a link with a configured rate of `bytes_per_second`.
     pub(crate) fn new(bytes_per_second: u64) -> Self {
         Self {
-            link: LinkBudget::new(Some(bytes_per_second)),
-            same_zone: SentParts::new(MOST_NEAR_PARTS),
-            cross_zone: SentParts::new(MOST_FAR_PARTS),
+            link: LinkPacer::new(Some(bytes_per_second)),
+            same_zone: SentParts::new(MAX_SAME_ZONE_PARTS),
+            cross_zone: SentParts::new(MAX_CROSS_ZONE_PARTS),
             room_changed: Notify::new(),
         }
     }
 
     /// Paces uploads at this fraction of the link's configured rate.
     pub(crate) fn set_rate_fraction(&self, rate_fraction: f64) {
-        self.link.set_share(rate_fraction);
+        self.link.set_rate_fraction(rate_fraction);
     }
 
     /// Waits until a part of `bytes` may be sent. The receiver acknowledges it with the receipt
     /// returned.
     pub(crate) async fn acquire(&self, is_same_zone: bool, bytes: usize) -> PartReceipt {
-        self.link.take(bytes).await;
+        self.link.acquire(bytes).await;
         let parts = self.parts(is_same_zone);
         while !parts.borrow().window.has_room() {
             self.room_changed.notified().await;
--- a/crates/stager/src/work.rs
+++ b/crates/stager/src/work.rs
@@ -80,8 +80,9 @@
         return;
     }
     await_turn(shared, wanted).await;
-    let timing = shared.options.timing;
-    let drain_until = due_from(shared, wanted) + timing.bound.saturating_sub(timing.reserve / 2);
+    let timing = shared.options.switch_timing;
+    let drain_until =
+        due_from(shared, wanted) + timing.staleness_bound.saturating_sub(timing.reserve / 2);
     switch::take(shared, key, wanted.plan.may_cut, drain_until).await;
 }
 
@@ -168,7 +169,11 @@
     }
     let (rank, count) = ranks::rank_and_count(shared, wanted);
     let due_from = due_from(shared, wanted);
-    let turn = SwitchSchedule::new(shared.options.timing).turn(due_from.elapsed(), rank, count);
+    let turn = SwitchSchedule::new(shared.options.switch_timing).switch_offset(
+        due_from.elapsed(),
+        rank,
+        count,
+    );
     tracing::info!(
         rank,
         of = count,
--- a/tests/all/fleet/late_orders.rs
+++ b/tests/all/fleet/late_orders.rs
@@ -204,12 +204,12 @@
 /// count as one.
 #[test]
 fn only_a_stated_refusal_of_an_order_counts_as_one() {
-    let read = |status| PlatformEngine.read_order(status);
+    let read = |status| PlatformEngine.order_outcome(status);
     for status in [200, 202] {
         assert_eq!(read(status), OrderOutcome::Accepted, "{status}");
     }
     for status in [400, 409, 412, 421] {
-        assert_eq!(read(status), OrderOutcome::Refused, "{status}");
+        assert_eq!(read(status), OrderOutcome::Rejected, "{status}");
     }
     for status in [307, 500, 502, 503, 504] {
         assert_eq!(read(status), OrderOutcome::Unknown, "{status}");
--- a/tests/all/fleet/narrow_link.rs
+++ b/tests/all/fleet/narrow_link.rs
@@ -188,13 +188,13 @@
         target,
         service: service(),
         secret,
-        seeds: Rc::new(RefCell::new(vec![seed.to_owned()])),
+        feed_seeds: Rc::new(RefCell::new(vec![seed.to_owned()])),
         chunk_port,
         planner,
         upload_bytes_per_second: 1_000_000,
         fetches_early: true,
         finishes_older: true,
-        timing: SwitchTiming { bound: Duration::ZERO, reserve: Duration::ZERO },
+        switch_timing: SwitchTiming { staleness_bound: Duration::ZERO, reserve: Duration::ZERO },
     };
     let listeners = StagerListeners { chunks };
     let metrics = DaemonMetrics::new();
@@ -273,7 +273,8 @@
         relay.start(TcpListener::bind((host(number), port)).expect("a free port"));
     }
     let (_, _receivers_control, seed) = serve(relays.map(peer).collect(), 18);
-    let planner = PlannerPolicy { seeders: 0, fetches_per_peer: 1, ..PlannerPolicy::default() };
+    let planner =
+        PlannerPolicy { max_seeders: 0, max_fetches_per_peer: 1, ..PlannerPolicy::default() };
     let (_, _receiver) = start_agent(host(18), port, &seed, secret, planner).await;
     wait_until(|| relay.bytes_left.get() == 0).await;
     // By then the replies to all earlier requests have arrived over loopback.
