--- a/crates/stager/src/digest_search.rs
+++ b/crates/stager/src/digest_search.rs
@@ -211,11 +211,11 @@
 ) -> Option<Vec<[u8; 32]>> {
     let mut report = shared.report.subscribe();
     let is_up = report.borrow().is_some();
-    let answer = tokio::select! {
-        answer = link.digests(key.clone(), !is_up, PEER_WAIT) => answer,
+    let reply = tokio::select! {
+        reply = link.digests(key.clone(), !is_up, PEER_WAIT) => reply,
         _ = report.wait_for(|report| !is_up && report.is_some()) => return None,
     };
-    match answer {
+    match reply {
         Ok(digests) => digests.filter(|digests| !digests.is_empty()),
         Err(error) => {
             tracing::debug!(%error, "a peer did not reply to a request for digests");
