--- a/crates/stager/src/contents.rs
+++ b/crates/stager/src/contents.rs
@@ -1,24 +1,24 @@
-//! Having control remember what versions are made of.
+//! Content digests of versions, as control records them.
 //!
-//! Answers engines that hold nothing, whose former orders no fencing token can shut out: the agent
-//! that starts again beside one must know which version lies staged, also when all agents were killed
-//! and newer versions were named since.
+//! An engine that holds nothing cannot be fenced against orders of the previous agent process. An
+//! agent that restarts beside such an engine must therefore identify the version that is staged,
+//! even if all agents were killed and newer versions have been published since.
 
 use crate::{digests::WeightDigests, shared::StagerShared};
 use egretseam_proto::{ContentDigest, ModelName};
 use egretseam_rpc::{FeedLink, LinkOptions};
 use std::time::Duration;
 
-/// Time to reach the member that is followed.
-const CONNECT_LIMIT: Duration = Duration::from_millis(100);
-/// Time for its answer, behind a commit among members in several regions. While control has no quorum,
-/// each order is this much late.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
+/// Timeout for connecting to the control member that this agent follows.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Timeout for the member's answer, which follows a commit among members in several regions. While
+/// control has no quorum, each order is delayed by this much.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Sees to it that control knows what a version is made of that the engine is about to be ordered to
-/// take. An order is given all the same when control cannot be reached, for then nobody would get
-/// new weights during an outage.
-pub(crate) async fn note(shared: &StagerShared, digests: &WeightDigests) {
+/// Has control record the content digest of a version before the engine is ordered to load it. The
+/// order is sent even if control cannot be reached, since otherwise no engine would get new weights
+/// during an outage.
+pub(crate) async fn record(shared: &StagerShared, digests: &WeightDigests) {
     let key = digests.key();
     if shared.noted_content.borrow().as_ref() == Some(&key) {
         return;
@@ -29,24 +29,24 @@
         Ok(false) => {
             tracing::info!(
                 version = key.version,
-                "control could not note what a version is made of"
+                "control did not record the content digest of a version"
             );
         }
         Err(error) => {
-            tracing::info!(version = key.version, %error, "control was not told what a version is made of");
+            tracing::info!(version = key.version, %error, "failed to send the content digest of a version to control");
         }
     }
 }
 
-/// The version that is made of this, by control's word.
-pub(crate) async fn version_of(
+/// Asks control for the version with this content digest.
+pub(crate) async fn find_version(
     shared: &StagerShared,
     model: &ModelName,
     content: ContentDigest,
 ) -> Option<u64> {
     let answer = member_link(shared)?.version_of(model.clone(), content).await;
     answer.unwrap_or_else(|error| {
-        tracing::debug!(%error, "a control member did not say what is staged");
+        tracing::debug!(%error, "failed to ask control which version is staged");
         None
     })
 }
@@ -54,8 +54,8 @@
 fn member_link(shared: &StagerShared) -> Option<FeedLink> {
     let member = shared.member.get()?;
     let options = LinkOptions {
-        connect_timeout: CONNECT_LIMIT,
-        call_timeout: ANSWER_LIMIT,
+        connect_timeout: CONNECT_TIMEOUT,
+        call_timeout: ANSWER_TIMEOUT,
         ..LinkOptions::default()
     };
     Some(FeedLink::new(&member.to_string(), shared.options.secret, options))
--- a/crates/stager/src/dialect.rs
+++ b/crates/stager/src/dialect.rs
@@ -1,4 +1,5 @@
-//! What engines and the origin speak, behind a trait: names and formats only.
+//! Requests and answers of the engine and of the origin of weights, behind a trait: it knows names
+//! and formats only.
 
 use crate::digests::WeightDigests;
 use bytes::Bytes;
@@ -18,63 +19,63 @@
     pub body: Bytes,
 }
 
-/// What an engine says of itself.
+/// What an engine reports about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Which run of the engine it is, if it says so.
+    /// The engine's incarnation, if it reports one.
     pub incarnation: Incarnation,
-    /// Models that it holds whole.
+    /// Models that it holds complete.
     pub models: Vec<HeldModel>,
     /// Whether an order is in progress.
     pub busy: bool,
-    /// Orders that this run of the engine has begun; 0 from one that does not count them.
+    /// Orders that this incarnation has begun; 0 if the engine does not count them.
     pub orders_begun: u64,
-    /// Requests that run.
+    /// Requests that the engine runs.
     pub running_requests: u32,
-    /// Requests that wait.
+    /// Requests that wait in the engine's queue.
     pub queued_requests: u32,
 }
 
-/// An order to take what is staged.
+/// An order to load the staged weights.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadOrder<'a> {
     /// Model that is staged.
     pub model: &'a ModelName,
     /// Version that is staged.
     pub version: u64,
-    /// Whether running requests are cut off; otherwise they end first.
+    /// Whether running requests are cut off; otherwise the engine lets them end first.
     pub preempt: bool,
-    /// Orders that the engine must have begun before this one; with any other count it refuses.
+    /// Orders that the engine must have begun before this one; at any other count it rejects this.
     pub expected_orders_begun: u64,
-    /// Fencing token: an engine refuses the order if it has accepted one with a higher token.
+    /// The engine rejects the order if it has accepted one with a higher fencing token.
     pub fencing_token: u64,
 }
 
-/// How an engine took an order.
+/// How an engine answered an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It has begun, or is in effect already.
+    /// The engine has begun it, or already holds the version.
     Accepted,
-    /// It does not fit the engine's state, or never reached it.
+    /// It does not fit the engine's state, or never reached the engine.
     Rejected,
-    /// Nothing came back that says; the engine may have begun it, or may begin it later.
+    /// No conclusive answer; the engine may have begun the order, or may begin it later.
     Unknown,
 }
 
-/// What engines and the origin speak.
+/// Builds requests to engines and the origin, and reads their answers.
 pub trait EngineDialect {
-    /// Asks an engine for its state.
+    /// Asks an engine for its report.
     fn report_request(&self) -> EngineRequest;
-    /// Reads it.
+    /// Parses the body of a report.
     ///
     /// # Errors
-    /// Says what cannot be read.
+    /// Says what cannot be parsed.
     fn parse_report(&self, body: &[u8]) -> Result<EngineReport, String>;
-    /// Orders an engine to take what is staged when it accepts the order.
+    /// Orders an engine to load what is staged when it accepts the order.
     fn order_request(&self, order: &LoadOrder<'_>) -> EngineRequest;
-    /// Reads how it took the order, by the status.
+    /// The outcome of an order, by the status of the answer.
     fn order_outcome(&self, status: u16) -> OrderOutcome;
-    /// Whether the engine refused an order because it has accepted one with a higher fencing token.
+    /// Whether the status means that the engine has accepted an order with a higher fencing token.
     fn is_fencing_rejection(&self, status: u16) -> bool;
     /// Stages a chunk.
     fn put_chunk_request(&self, model: &ModelName, index: u32, bytes: Bytes) -> EngineRequest;
@@ -82,10 +83,10 @@
     fn get_chunk_request(&self, model: &ModelName, index: u32) -> EngineRequest;
     /// Asks the origin for the digests of a version.
     fn digests_request(&self, model: &ModelName, version: u64) -> EngineRequest;
-    /// Reads them.
+    /// Parses the body of a list of digests.
     ///
     /// # Errors
-    /// Says what cannot be read.
+    /// Says what cannot be parsed.
     fn parse_digests(&self, body: &[u8]) -> Result<WeightDigests, String>;
     /// Asks the origin for a chunk.
     fn origin_chunk_request(&self, model: &ModelName, version: u64, index: u32) -> EngineRequest;
--- a/crates/stager/src/former_orders.rs
+++ b/crates/stager/src/former_orders.rs
@@ -151,7 +151,7 @@
         let mut digests =
             WeightDigests { model: model.clone(), version: 0, chunks: self.digests.clone() };
         loop {
-            if let Some(version) = contents::version_of(shared, model, digests.content()).await {
+            if let Some(version) = contents::find_version(shared, model, digests.content()).await {
                 digests.version = version;
                 return self.judge_whole(&Rc::new(digests));
             }
--- a/crates/stager/src/lib.rs
+++ b/crates/stager/src/lib.rs
@@ -1,12 +1,12 @@
-//! The agent beside an engine of a fleet without gates: brings the named version of the weights
-//! to it, whole and verified, and has the engine take them when it is this instance's turn.
+//! The agent beside an engine of a fleet without gates: it fetches the published version of the
+//! weights, verifies that it is complete, stages it at the engine, and orders the engine to load it
+//! when it is this instance's turn.
 //!
-//! [`StagerRuntime`] runs three tasks over one table: `engine` watches what the engine holds,
-//! `follow` tells control and learns the plan, `work` brings the plan about with `transfer` (who
-//! fetches which chunk from whom is decided by [`egretseam_swarm::SwarmPlanner`]) and `switch`.
-//! `chunks` gives chunks to other agents; `downloads` and `uploads` bound what is on its way to and
-//! from them. What engines and the origin speak is behind
-//! [`EngineDialect`].
+//! [`StagerRuntime`] runs tasks over shared state: `engine` polls the engine for what it holds,
+//! `follow` reports to control and receives the plan, and `reconcile` carries the plan out with
+//! `transfer` ([`egretseam_swarm::SwarmPlanner`] decides who fetches which chunk from whom) and
+//! `switch`. `chunks` serves chunks to other agents; `downloads` and `uploads` bound what is in
+//! flight from and to them. [`EngineDialect`] hides the formats of the engine and the origin.
 
 mod chunks;
 mod contents;
@@ -25,13 +25,13 @@
 mod order_tracker;
 mod probe;
 mod ranks;
+mod reconcile;
 mod runtime;
 mod shared;
 mod staging;
 mod switch;
 mod transfer;
 mod uploads;
-mod work;
 
 pub use crate::{
     dialect::{EngineDialect, EngineReport, EngineRequest, LoadOrder, OrderOutcome},
--- a/crates/stager/src/older.rs
+++ b/crates/stager/src/older.rs
@@ -7,11 +7,10 @@
 
 use crate::{
     chunks::HeldWeights,
-    ranks,
+    ranks, reconcile,
     shared::{HeldPlan, StagerShared},
     switch,
     transfer::Transfer,
-    work,
 };
 use egretseam_rpc::WeightsKey;
 use egretseam_serving::{OlderVersionUse, OlderVersionView};
@@ -135,7 +134,7 @@
         since_named: now.saturating_duration_since(older.named_at),
         since_newest: now.saturating_duration_since(plan.named_at),
         newest_whole_in: chunks.get(&plan.key()).and_then(expected),
-        serves: work::serves(shared, plan),
+        serves: reconcile::serves(shared, plan),
         rank,
         count,
     }
--- a/crates/stager/src/options.rs
+++ b/crates/stager/src/options.rs
@@ -13,7 +13,7 @@
 /// Bound listeners of an agent.
 #[derive(Debug)]
 pub struct StagerListeners {
-    /// For other agents' chunks.
+    /// Serves chunks to other agents.
     pub chunks: TcpListener,
 }
 
@@ -22,24 +22,24 @@
 pub struct StagerOptions {
     /// Availability zone.
     pub zone: ZoneName,
-    /// The target beside the agent.
+    /// The target that this agent supplies with weights.
     pub target: SocketAddr,
-    /// Its service.
+    /// The target's service.
     pub service: ServiceName,
-    /// Shared secret of our processes.
+    /// Secret that authenticates the fleet's processes to each other.
     pub secret: PeerSecret,
-    /// `host:port` of control members' feeds to begin with.
+    /// `host:port` of the control members' feeds that are tried first.
     pub feed_seeds: Rc<RefCell<Vec<String>>>,
-    /// Port at which every agent gives chunks.
+    /// Port at which every agent serves chunks.
     pub chunk_port: u16,
-    /// How chunks spread.
+    /// How chunks are distributed among agents.
     pub planner: PlannerPolicy,
-    /// Bytes a second that chunks for other agents may take of the link.
+    /// Bytes per second of the link that uploads of chunks to other agents may use.
     pub upload_bytes_per_second: u64,
-    /// Whether chunks are fetched while the engine still starts.
+    /// Whether chunks are fetched while the engine is still starting.
     pub fetches_early: bool,
-    /// Whether an older version is finished that can be had before a newer one.
+    /// Whether a superseded version is still completed and loaded if it can be had before the newest.
     pub finishes_older: bool,
-    /// When new weights are taken.
+    /// When the engine may switch to new weights.
     pub switch_timing: SwitchTiming,
 }
--- a/crates/stager/src/order_tracker.rs
+++ b/crates/stager/src/order_tracker.rs
@@ -1,9 +1,10 @@
-//! The order that the engine may still carry out.
+//! The outstanding order: the one that the engine may still execute.
 //!
-//! Answers orders whose answer is lost: the engine may begin one seconds after the agent has stopped
-//! waiting, and takes whatever is staged by then. Every copy of an order names how many orders the
-//! engine had begun before it, so the engine begins one copy at most and none after any other order.
-//! Until one of these is seen the order is open, and the chunks that it speaks of must stay staged.
+//! When the answer to an order is lost, the engine may begin the order seconds after the agent's
+//! timeout, and loads whatever is staged by then. Every copy of an order states how many orders the
+//! engine had begun before it, so the engine begins at most one copy, and none after any other order.
+//! Until the agent sees that the engine has begun either, the order is outstanding, and its chunks
+//! must stay staged.
 
 use crate::{dialect::OrderOutcome, digests::WeightDigests};
 use bytes::Bytes;
@@ -15,68 +16,73 @@
 pub struct CompleteWeights {
     /// Model and version.
     pub key: WeightsKey,
-    /// What the chunks must be.
+    /// Digests of the chunks.
     pub digests: Rc<WeightDigests>,
-    /// All of them, in their sequence.
+    /// All chunks, by index.
     pub chunks: Vec<Bytes>,
 }
 
 #[derive(Debug)]
-struct OpenOrder {
+struct OutstandingOrder {
     weights: Rc<CompleteWeights>,
     /// Orders that the engine had begun when the first copy was sent.
-    begun_before: u64,
-    /// Copies that may still reach the engine.
-    unanswered: u32,
+    expected_orders_begun: u64,
+    /// Copies sent without a known outcome, which may still reach the engine.
+    unresolved_copies: u32,
 }
 
-/// Keeps the open order to one engine, if there is one.
+/// Tracks the outstanding order of one engine, if there is one.
 #[derive(Debug, Default)]
 pub struct OrderTracker {
-    open: Option<OpenOrder>,
+    outstanding: Option<OutstandingOrder>,
 }
 
 impl OrderTracker {
-    /// Notes an order, or a further copy of the open one, before it is sent to an engine that has
-    /// begun `begun` orders. Returns the count that the copy is to name. An open order for other
-    /// weights must have been settled first.
-    pub fn record_sent(&mut self, weights: &Rc<CompleteWeights>, begun: u64) -> u64 {
-        let open = self.open.take().filter(|open| open.weights.key == weights.key);
-        let (begun_before, unanswered) =
-            open.map_or((begun, 0), |open| (open.begun_before, open.unanswered));
+    /// Records an order, or another copy of the outstanding one, before it is sent to an engine that
+    /// has begun `orders_begun` orders. Returns the count that the copy must state. An outstanding
+    /// order for other weights must have been settled first.
+    pub fn record_sent(&mut self, weights: &Rc<CompleteWeights>, orders_begun: u64) -> u64 {
+        let same = self.outstanding.take().filter(|order| order.weights.key == weights.key);
+        let (expected_orders_begun, unresolved_copies) = same.map_or((orders_begun, 0), |order| {
+            (order.expected_orders_begun, order.unresolved_copies)
+        });
         let weights = weights.clone();
-        self.open = Some(OpenOrder { weights, begun_before, unanswered: unanswered + 1 });
-        begun_before
+        self.outstanding = Some(OutstandingOrder {
+            weights,
+            expected_orders_begun,
+            unresolved_copies: unresolved_copies + 1,
+        });
+        expected_orders_begun
     }
 
-    /// Notes how the engine took the copy sent last. A copy that nobody waits for any more stays
-    /// unanswered.
+    /// Records how the engine answered the copy sent last. A copy whose answer is no longer awaited
+    /// stays unresolved.
     pub fn record_outcome(&mut self, outcome: OrderOutcome) {
         match outcome {
-            OrderOutcome::Accepted => self.open = None,
+            OrderOutcome::Accepted => self.outstanding = None,
             OrderOutcome::Unknown => {}
             OrderOutcome::Rejected => {
-                self.open.take_if(|open| {
-                    open.unanswered = open.unanswered.saturating_sub(1);
-                    open.unanswered == 0
+                self.outstanding.take_if(|order| {
+                    order.unresolved_copies = order.unresolved_copies.saturating_sub(1);
+                    order.unresolved_copies == 0
                 });
             }
         }
     }
 
-    /// Notes how many orders the engine has begun: with any other count than the one that its
-    /// copies name, the open order cannot begin any more. An engine that starts again counts anew,
-    /// and orders to its former run ended with their connections.
-    pub fn apply_orders_begun(&mut self, begun: u64) {
-        self.open.take_if(|open| open.begun_before != begun);
+    /// Applies the engine's count of begun orders. At any other count than the one that its copies
+    /// state, the outstanding order can no longer begin. A restarted engine counts from zero, and
+    /// orders to its previous incarnation ended with their connections.
+    pub fn apply_orders_begun(&mut self, orders_begun: u64) {
+        self.outstanding.take_if(|order| order.expected_orders_begun != orders_begun);
     }
 
-    /// What the open order would have the engine take.
+    /// The weights that the outstanding order tells the engine to load.
     pub fn outstanding(&self) -> Option<Rc<CompleteWeights>> {
-        self.open.as_ref().map(|open| open.weights.clone())
+        self.outstanding.as_ref().map(|order| order.weights.clone())
     }
 
-    /// The same, if that is anything but `key`.
+    /// The same, unless the order is for `key`.
     pub fn outstanding_for_other(&self, key: &WeightsKey) -> Option<Rc<CompleteWeights>> {
         self.outstanding().filter(|weights| weights.key != *key)
     }
--- a/crates/stager/src/work.rs
+++ b/crates/stager/src/reconcile.rs
@@ -19,7 +19,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Brings about whatever the plan says, for ever.
-pub(crate) async fn work(shared: Weak<StagerShared>) {
+pub(crate) async fn run(shared: Weak<StagerShared>) {
     let Some(held) = shared.upgrade() else { return };
     let mut plan = held.plan.subscribe();
     let mut report = held.report.subscribe();
--- a/crates/stager/src/runtime.rs
+++ b/crates/stager/src/runtime.rs
@@ -5,9 +5,9 @@
     dialect::EngineDialect,
     engine, follow, loads, older,
     options::{StagerListeners, StagerOptions},
-    probe,
+    probe, reconcile,
     shared::StagerShared,
-    switch, work,
+    switch,
 };
 use egretseam_http::DaemonMetrics;
 use egretseam_rpc::{RpcOptions, RpcServer, serve_chunks};
@@ -49,7 +49,7 @@
         actix_rt::spawn(probe::probe(Rc::downgrade(&shared)));
         actix_rt::spawn(older::watch(Rc::downgrade(&shared)));
         actix_rt::spawn(switch::watch_open_orders(Rc::downgrade(&shared)));
-        actix_rt::spawn(work::work(Rc::downgrade(&shared)));
+        actix_rt::spawn(reconcile::run(Rc::downgrade(&shared)));
         Ok(Self { _shared: shared, _chunks: chunks })
     }
 }
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -125,7 +125,7 @@
     }
     // Entries are told before the engine is, so that no request meets an engine that refuses it.
     let _ordering = shared.begin_ordering();
-    tokio::join!(tokio::time::sleep(TELL_AHEAD), contents::note(shared, &weights.digests));
+    tokio::join!(tokio::time::sleep(TELL_AHEAD), contents::record(shared, &weights.digests));
     if cut {
         drain(shared, drain_until).await;
     }
