--- a/crates/stager/src/engine.rs
+++ b/crates/stager/src/engine.rs
@@ -1,35 +1,35 @@
-//! Watching the engine on the own machine, which costs it nothing.
+//! Polls the engine on this instance, which costs the engine nothing.
 
 use crate::{dialect::EngineReport, shared::StagerShared};
 use std::{rc::Weak, time::Duration};
 use tokio::time::Instant;
 
-/// Time between two looks while nothing happens: bounds how old the load is that entries are told,
-/// beside the time by which engines' reports lag, and how long a restarted engine stands empty.
-const USUAL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two looks while an order is in progress: entries learn from it when the engine
-/// takes requests again.
-const HURRIED_INTERVAL: Duration = Duration::from_millis(40);
+/// Poll interval while no order is in progress. It bounds the age of the load that entries receive
+/// (besides the lag of engines' reports), and how long a restarted engine stays without weights.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Poll interval while an order is in progress: entries learn from these polls when the engine
+/// accepts requests again.
+const FAST_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Looks at the engine again and again.
+/// Polls the engine for as long as the agent lives.
 pub(crate) async fn watch(shared: Weak<StagerShared>) {
     let mut reachable = true;
     loop {
         let interval = {
             let Some(shared) = shared.upgrade() else { return };
-            let now_reachable = look(&shared).await;
+            let now_reachable = poll(&shared).await;
             if now_reachable != reachable {
                 reachable = now_reachable;
-                tracing::info!(reachable, target = %shared.options.target, "the engine's reachability changed");
+                tracing::info!(reachable, target = %shared.options.target, "engine became reachable or unreachable");
             }
-            if shared.hurry.get() { HURRIED_INTERVAL } else { USUAL_INTERVAL }
+            if shared.hurry.get() { FAST_POLL_INTERVAL } else { POLL_INTERVAL }
         };
         tokio::time::sleep(interval).await;
     }
 }
 
-/// Looks once; returns whether the engine answered.
-pub(crate) async fn look(shared: &StagerShared) -> bool {
+/// Polls the engine once; returns whether it sent a readable report.
+pub(crate) async fn poll(shared: &StagerShared) -> bool {
     let asked_at = Instant::now();
     let call = shared.dialect.report_request();
     let report = match shared.watch_engine(&call).await {
@@ -42,7 +42,7 @@
             shared.report_at.set(asked_at);
             shared.orders.borrow_mut().apply_orders_begun(report.orders_begun);
             shared.fence.borrow_mut().apply_report(shared.report.borrow().as_ref(), &report);
-            note_versions(shared, &report);
+            detect_rollback(shared, &report);
             shared.report.send_if_modified(|held| {
                 let changed = held.as_ref().is_none_or(|held| {
                     held.models != report.models
@@ -59,7 +59,7 @@
             true
         }
         Err(error) => {
-            tracing::debug!(error, "the engine's report cannot be read");
+            tracing::debug!(error, "failed to read the engine's report");
             shared.report.send_if_modified(|held| held.take().is_some());
             false
         }
@@ -72,13 +72,13 @@
         busy = report.busy,
         orders_begun = report.orders_begun,
         incarnation = %report.incarnation,
-        "the engine's state changed"
+        "engine state changed"
     );
 }
 
-/// Counts and logs an engine that holds an older version than before in the same run. Nobody orders
-/// that, so it is the sign of an order that the engine carried out late.
-fn note_versions(shared: &StagerShared, report: &EngineReport) {
+/// Counts and logs when the engine holds an older version than before in the same incarnation. No agent
+/// orders that, so it means that the engine executed an order late.
+fn detect_rollback(shared: &StagerShared, report: &EngineReport) {
     let Some(now) = report.models.first() else { return };
     let before = shared.held_before.replace(Some((report.incarnation, now.clone())));
     let Some((incarnation, before)) = before else { return };
@@ -89,7 +89,7 @@
             before = before.version,
             now = now.version,
             orders_begun = report.orders_begun,
-            "the engine went back to an older version"
+            "engine went back to an older version; it executed an order late"
         );
     }
 }
--- a/crates/stager/src/fencing.rs
+++ b/crates/stager/src/fencing.rs
@@ -1,7 +1,7 @@
-//! Having the engine refuse orders of the agent before this one.
+//! Raising the engine's fence, so that it rejects orders of the previous agent process.
 //!
-//! An order for the version that the engine holds begins nothing and needs nothing staged, but its
-//! token counts. Engines that hold nothing cannot be fenced so.
+//! An order for the version that the engine already holds begins nothing and needs no staged chunks,
+//! but the engine records its fencing token. An engine that holds nothing cannot be fenced this way.
 
 use crate::{
     dialect::{EngineReport, LoadOrder, OrderOutcome},
@@ -12,60 +12,68 @@
 use egretseam_serving::HeldModel;
 use tokio::time::Instant;
 
-/// Orders given before the fence is put off; answers may be lost, and clocks may have been set back.
-const MOST_TRIES: u32 = 5;
+/// Orders sent before raising the fence is postponed; answers may be lost, and clocks may have been
+/// set back.
+const MAX_FENCE_ATTEMPTS: u32 = 5;
 
-/// How the engine took an order for what it holds.
+/// How the engine answered an order for the version that it holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FenceReply {
-    /// The token counts from now on.
-    Passed,
+enum FenceOutcome {
+    /// The engine accepted the order and recorded its token.
+    Accepted,
     /// The engine has accepted an order with a higher token.
-    FencedOff,
-    /// The engine holds nothing of the model.
-    HoldsNothing,
-    /// It is loading, or nothing came back that says.
-    Unclear,
+    HigherToken,
+    /// The engine holds no version of the model; no order was sent.
+    NothingHeld,
+    /// The engine is loading, or gave no conclusive answer.
+    Inconclusive,
 }
 
-/// Has the engine refuse what former agents ordered. Returns whether it does for certain: not where it
-/// holds nothing, nor where no agent before this one has given tokens or the engine does not compare
-/// them, for then former orders may have none.
-pub(crate) async fn shut_out_former(shared: &StagerShared, model: &ModelName) -> bool {
-    for _ in 0..MOST_TRIES {
+/// Has the engine reject the orders of previous agent processes. Returns whether it certainly does:
+/// not if it holds nothing, nor if it has accepted no agent's token or does not compare tokens, since
+/// earlier orders may then carry none.
+pub(crate) async fn fence_off_previous_orders(shared: &StagerShared, model: &ModelName) -> bool {
+    for _ in 0..MAX_FENCE_ATTEMPTS {
         let probe = shared.fence.borrow_mut().next_probe_token();
-        match order_held(shared, model, probe).await {
-            FenceReply::FencedOff => return raise(shared, model).await,
-            FenceReply::Passed | FenceReply::HoldsNothing => return false,
-            FenceReply::Unclear => tokio::time::sleep(ORDER_PAUSE).await,
+        match order_held_version(shared, model, probe).await {
+            FenceOutcome::HigherToken => return raise(shared, model).await,
+            FenceOutcome::Accepted | FenceOutcome::NothingHeld => return false,
+            FenceOutcome::Inconclusive => tokio::time::sleep(ORDER_PAUSE).await,
         }
     }
     false
 }
 
-/// Raises the engine's fence to this agent's tokens, once in each run of the engine. Returns whether
-/// it is raised.
+/// Raises the engine's fence to this agent's tokens, once for each incarnation of the engine. Returns
+/// whether it is raised.
 ///
-/// Failure guarded: an agent starts again with a clock that was set back, and its tokens are lower than
-/// that of an open order of the former agent, which the engine has not seen. Since each agent raises
-/// the fence before it orders anything else, the later one finds out and goes beyond.
+/// Failure guarded: an agent restarts with a clock that was set back, so that its tokens are lower than
+/// that of an outstanding order of the previous process, which the engine has not seen yet. Since each
+/// agent raises the fence before it sends any other order, the later process has its token rejected
+/// and goes beyond the earlier one's.
 pub(crate) async fn raise(shared: &StagerShared, model: &ModelName) -> bool {
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_FENCE_ATTEMPTS {
         if !shared.fence.borrow().is_raise_due(Instant::now()) {
             return shared.fence.borrow().is_raised();
         }
         let token = shared.fence.borrow_mut().next_token();
-        match order_held(shared, model, token).await {
-            FenceReply::Passed => {
-                tracing::info!(token, "the engine refuses orders of former agents");
+        match order_held_version(shared, model, token).await {
+            FenceOutcome::Accepted => {
+                tracing::info!(
+                    token,
+                    "engine rejects orders of previous agent processes from now on"
+                );
                 shared.fence.borrow_mut().record_accepted();
             }
-            FenceReply::FencedOff => {
-                tracing::info!(token, "the engine has accepted a higher fencing token");
+            FenceOutcome::HigherToken => {
+                tracing::info!(
+                    token,
+                    "engine rejected the fencing token: it has accepted a higher one"
+                );
                 shared.fence.borrow_mut().record_fencing_rejection();
             }
-            FenceReply::HoldsNothing => return false,
-            FenceReply::Unclear => tokio::time::sleep(ORDER_PAUSE).await,
+            FenceOutcome::NothingHeld => return false,
+            FenceOutcome::Inconclusive => tokio::time::sleep(ORDER_PAUSE).await,
         }
     }
     let is_raised = shared.fence.borrow().is_raised();
@@ -75,13 +83,17 @@
     is_raised
 }
 
-/// Orders the engine to take the version that it holds.
+/// Orders the engine to load the version that it already holds.
 ///
-/// Failure guarded: the engine starts again between its report and the order, holds nothing, and
-/// takes whatever is staged for the version named. It shows as answers from mixed weights. Report
-/// and order go over one connection, which ends with the engine's run, and an order of another
-/// agent that it has begun meanwhile is told by its count.
-async fn order_held(shared: &StagerShared, model: &ModelName, fencing_token: u64) -> FenceReply {
+/// Failure guarded: the engine restarts between its report and the order, holds nothing, and loads
+/// whatever is staged as the version named in the order. Callers then get answers from mixed weights.
+/// Report and order use one connection, which ends with the engine's incarnation, and the expected
+/// count of orders rules out an order of another agent that it has begun in between.
+async fn order_held_version(
+    shared: &StagerShared,
+    model: &ModelName,
+    fencing_token: u64,
+) -> FenceOutcome {
     let mut engine = shared.lock_engine().await;
     let report = match engine.call(&shared.dialect.report_request()).await {
         Ok(reply) if reply.status == 200 => shared.dialect.parse_report(&reply.body),
@@ -91,33 +103,33 @@
     let report = match report {
         Ok(report) => report,
         Err(error) => {
-            tracing::debug!(error, "the engine's report cannot be read");
-            return FenceReply::Unclear;
+            tracing::debug!(error, "failed to read the engine's report");
+            return FenceOutcome::Inconclusive;
         }
     };
     if report.busy {
-        return FenceReply::Unclear;
+        return FenceOutcome::Inconclusive;
     }
-    let Some(version) = held_version(&report, model) else { return FenceReply::HoldsNothing };
+    let Some(version) = held_version(&report, model) else { return FenceOutcome::NothingHeld };
     let expected_orders_begun = report.orders_begun;
     let order = LoadOrder { model, version, preempt: false, expected_orders_begun, fencing_token };
     shared.metrics.orders.inc();
     match engine.order_kept(&shared.dialect.order_request(&order)).await {
-        Ok(reply) if shared.dialect.is_fencing_rejection(reply.status) => FenceReply::FencedOff,
+        Ok(reply) if shared.dialect.is_fencing_rejection(reply.status) => FenceOutcome::HigherToken,
         Ok(reply) if shared.dialect.order_outcome(reply.status) == OrderOutcome::Accepted => {
-            FenceReply::Passed
+            FenceOutcome::Accepted
         }
         Ok(reply) => {
             tracing::info!(
                 status = reply.status,
                 fence = fencing_token,
-                "the engine's fence was not raised"
+                "engine did not accept the order that raises its fence"
             );
-            FenceReply::Unclear
+            FenceOutcome::Inconclusive
         }
         Err(error) => {
-            tracing::info!(%error, fence = fencing_token, "the engine's fence may not be raised");
-            FenceReply::Unclear
+            tracing::info!(%error, fence = fencing_token, "failed to send the order that raises the engine's fence, or to get its answer");
+            FenceOutcome::Inconclusive
         }
     }
 }
--- a/crates/stager/src/former_orders.rs
+++ b/crates/stager/src/former_orders.rs
@@ -35,19 +35,19 @@
     if shared.knows_orders.get() {
         return true;
     }
-    if !engine::look(shared).await {
+    if !engine::poll(shared).await {
         return false;
     }
     let begun = shared.report.borrow().as_ref().map_or(0, |report| report.orders_begun);
     let Some(wanted) = shared.chunks.borrow().digests(key) else { return false };
-    let is_shut_out = fencing::shut_out_former(shared, &key.model).await;
+    let is_fenced_off = fencing::fence_off_previous_orders(shared, &key.model).await;
     let Some(staged) = staging::read_all(shared, &wanted).await else { return false };
     // An order is only given once all chunks are staged.
     let whole: Option<Vec<Bytes>> = staged.into_iter().collect();
     let open = match whole {
         None => None,
         Some(chunks) => {
-            let until = if is_shut_out {
+            let until = if is_fenced_off {
                 Instant::now() + SHUT_OUT_LIMIT
             } else {
                 shared.started_at + ORDER_LIFETIME
--- a/crates/stager/src/lib.rs
+++ b/crates/stager/src/lib.rs
@@ -1,6 +1,6 @@
-//! The agent beside an engine of a fleet without gates: it fetches the published version of the
-//! weights, verifies that it is complete, stages it at the engine, and orders the engine to load it
-//! when it is this instance's turn.
+//! The agent beside an engine, for fleets whose entries reach targets directly: it fetches the
+//! published version of the weights, verifies that it is complete, stages it at the engine, and
+//! orders the engine to load it when it is this instance's turn.
 //!
 //! [`StagerRuntime`] runs tasks over shared state: `engine` polls the engine for what it holds,
 //! `follow` reports to control and receives the plan, and `reconcile` carries the plan out with
--- a/crates/stager/src/loads.rs
+++ b/crates/stager/src/loads.rs
@@ -1,43 +1,45 @@
-//! Telling control how busy the engine is, so that entries need not guess it.
+//! Sends the engine's load to control, which passes it on, so that entries need not estimate it.
 
 use crate::shared::StagerShared;
 use egretseam_rpc::{BusyTarget, LoadDatagram};
 use std::{net::SocketAddr, rc::Weak, time::Duration};
 use tokio::{net::UdpSocket, time::Instant};
 
-/// Time between two looks at the last report.
-const INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time without a datagram: entries let older samples fade.
-const REFRESH: Duration = Duration::from_millis(700);
+/// Interval at which the last report is sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest time between datagrams while the load stays the same: as a sample ages, entries weigh the
+/// service's mean more.
+const RESEND_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Sends a datagram whenever the load has changed, and now and then besides.
-pub(crate) async fn tell(shared: Weak<StagerShared>) {
+/// Sends a datagram whenever the load has changed, and at least every [`RESEND_INTERVAL`].
+pub(crate) async fn send(shared: Weak<StagerShared>) {
     let socket = match UdpSocket::bind(("0.0.0.0", 0)).await {
         Ok(socket) => socket,
         Err(error) => {
-            tracing::error!(%error, "no socket for datagrams; entries will guess the load");
+            tracing::error!(%error, "failed to bind a UDP socket for load datagrams; entries will estimate the load");
             return;
         }
     };
     let mut last: Option<(u16, Instant)> = None;
     loop {
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let Some((member, busy)) = sample(&shared) else { continue };
-        let is_news = last.is_none_or(|(told, at)| told != busy || at.elapsed() >= REFRESH);
-        if !is_news {
+        let is_due = last.is_none_or(|(sent, at)| sent != busy || at.elapsed() >= RESEND_INTERVAL);
+        if !is_due {
             continue;
         }
         let sample = BusyTarget { address: shared.options.target, busy };
         let bytes = LoadDatagram::encode(&shared.options.secret, false, &[sample]);
         match socket.send_to(&bytes, member).await {
             Ok(_) => last = Some((busy, Instant::now())),
-            Err(error) => tracing::debug!(%error, "a datagram could not be sent"),
+            Err(error) => tracing::debug!(%error, "failed to send a load datagram"),
         }
     }
 }
 
-/// The member to tell and what to tell it, if both are known.
+/// The control member to send to, and how many requests run or wait in the engine, if both are
+/// known.
 fn sample(shared: &StagerShared) -> Option<(SocketAddr, u16)> {
     let member = shared.member.get()?;
     let report = shared.report.borrow();
--- a/crates/stager/src/runtime.rs
+++ b/crates/stager/src/runtime.rs
@@ -22,7 +22,7 @@
     Listener(#[from] io::Error),
 }
 
-/// A running agent. It holds nothing that a stop could lose.
+/// A running agent. It keeps no state that would be lost when it stops.
 pub struct StagerRuntime {
     _shared: Rc<StagerShared>,
     _chunks: RpcServer,
@@ -45,7 +45,7 @@
         let chunks = serve_chunks(listeners.chunks, secret, RpcOptions::default(), handler)?;
         actix_rt::spawn(engine::watch(Rc::downgrade(&shared)));
         actix_rt::spawn(follow::follow(Rc::downgrade(&shared)));
-        actix_rt::spawn(loads::tell(Rc::downgrade(&shared)));
+        actix_rt::spawn(loads::send(Rc::downgrade(&shared)));
         actix_rt::spawn(probe::probe(Rc::downgrade(&shared)));
         actix_rt::spawn(older::watch(Rc::downgrade(&shared)));
         actix_rt::spawn(switch::watch_open_orders(Rc::downgrade(&shared)));
--- a/crates/stager/src/staging.rs
+++ b/crates/stager/src/staging.rs
@@ -1,4 +1,4 @@
-//! Chunks as they lie at the engine: read, put, and made what they must be.
+//! Staged chunks at the engine: reading them back, putting them, and replacing those that mismatch.
 
 use crate::{
     digests::WeightDigests, order_tracker::CompleteWeights, shared::StagerShared,
@@ -8,19 +8,24 @@
 use egretseam_h1::ExchangeError;
 use egretseam_rpc::WeightsKey;
 
-/// Passes over the staged chunks before the order is put off; one stages, one finds all well.
-const MOST_PASSES: u32 = 5;
+/// Passes over the staged chunks before the order is postponed. Without faults two suffice: one stages
+/// the chunks, one finds them all correct.
+const MAX_STAGING_PASSES: u32 = 5;
 
-/// Makes what is staged at the engine what it must be.
+/// Stages the weights and verifies them at the engine. Returns whether all staged chunks are correct.
 ///
-/// Failure guarded: staged bytes can turn bad at any time, also right after they were staged, and
-/// the engine takes them unchecked. It would show as answers from spoilt weights. Every chunk is
-/// read back and compared right before the order, until one pass over all finds nothing to mend.
+/// Failure guarded: staged bytes can be corrupted at any time, also right after they were staged, and
+/// the engine loads them unchecked. Callers would get answers from corrupted weights. Every chunk is
+/// read back and compared right before the order, until one pass over all finds none to replace.
 pub(crate) async fn stage(shared: &StagerShared, weights: &CompleteWeights) -> bool {
-    for _ in 0..MOST_PASSES {
-        match mend_staged(shared, weights).await {
+    for _ in 0..MAX_STAGING_PASSES {
+        match replace_mismatched(shared, weights).await {
             Some(0) => return true,
-            Some(mended) => tracing::info!(version = weights.key.version, mended, "staged chunks"),
+            Some(replaced) => tracing::info!(
+                version = weights.key.version,
+                mended = replaced,
+                "staged missing or mismatched chunks"
+            ),
             None => break,
         }
     }
@@ -28,10 +33,10 @@
     false
 }
 
-/// Puts every chunk that is not staged as it must be; returns how many, or `None` if one could not
-/// be put.
-async fn mend_staged(shared: &StagerShared, weights: &CompleteWeights) -> Option<u32> {
-    let mut mended = 0;
+/// Puts every chunk that is not staged or does not match its digest; returns how many, or `None` if
+/// one could not be put.
+async fn replace_mismatched(shared: &StagerShared, weights: &CompleteWeights) -> Option<u32> {
+    let mut replaced = 0;
     for (index, chunk) in (0..).zip(&weights.chunks) {
         let staged = read_back(shared, &weights.key, index).await;
         let was_staged = staged.is_some();
@@ -41,25 +46,25 @@
         if was_staged {
             shared.metrics.chunks_rotten.inc();
         }
-        if !put(shared, &weights.key, index, chunk.clone()).await {
+        if !put_chunk(shared, &weights.key, index, chunk.clone()).await {
             return None;
         }
-        mended += 1;
+        replaced += 1;
     }
-    Some(mended)
+    Some(replaced)
 }
 
-/// A staged chunk, if the engine has one.
+/// Reads the chunk that is staged at `index`, if there is one and the engine answers.
 pub(crate) async fn read_back(
     shared: &StagerShared,
     key: &WeightsKey,
     index: u32,
 ) -> Option<Bytes> {
-    ask_for(shared, key, index).await.ok().flatten()
+    get_chunk(shared, key, index).await.ok().flatten()
 }
 
-/// What lies staged in the places of a version's chunks, up to the first empty one; `None` if the
-/// engine does not say.
+/// Reads what is staged at the indexes of a version's chunks, up to the first index without a chunk;
+/// `None` if the engine does not answer.
 pub(crate) async fn read_all(
     shared: &StagerShared,
     digests: &WeightDigests,
@@ -67,7 +72,7 @@
     let key = digests.key();
     let mut staged = Vec::new();
     for index in 0..digests.count() {
-        let chunk = ask_for(shared, &key, index).await.ok()?;
+        let chunk = get_chunk(shared, &key, index).await.ok()?;
         let is_empty = chunk.is_none();
         staged.push(chunk);
         if is_empty {
@@ -77,7 +82,7 @@
     Some(staged)
 }
 
-async fn ask_for(
+async fn get_chunk(
     shared: &StagerShared,
     key: &WeightsKey,
     index: u32,
@@ -87,17 +92,17 @@
     Ok((reply.status == 200).then_some(reply.body))
 }
 
-/// Stages a chunk; returns whether the engine took it.
-async fn put(shared: &StagerShared, key: &WeightsKey, index: u32, bytes: Bytes) -> bool {
+/// Stages a chunk; returns whether the engine accepted it.
+async fn put_chunk(shared: &StagerShared, key: &WeightsKey, index: u32, bytes: Bytes) -> bool {
     let call = shared.dialect.put_chunk_request(&key.model, index, bytes);
     match shared.call_engine(&call).await {
         Ok(reply) if reply.status < 300 => true,
         Ok(reply) => {
-            tracing::info!(status = reply.status, index, "the engine did not take a chunk");
+            tracing::info!(status = reply.status, index, "engine rejected a chunk to stage");
             false
         }
         Err(error) => {
-            tracing::info!(%error, index, "a chunk could not be staged");
+            tracing::info!(%error, index, "failed to send a chunk to stage");
             false
         }
     }
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -72,7 +72,7 @@
 /// engine that goes back to an older version. The order is resent with its own chunks staged,
 /// until the engine has answered a copy or begun one; then it refuses all other copies.
 async fn settle(shared: &StagerShared, key: &WeightsKey, cut: bool, drain_until: Instant) -> bool {
-    engine::look(shared).await;
+    engine::poll(shared).await;
     let Some(open) = shared.orders.borrow().outstanding_for_other(key) else { return true };
     resend(shared, &open, cut, drain_until).await;
     shared.orders.borrow().outstanding_for_other(key).is_none()
@@ -103,7 +103,7 @@
         }
         // Whoever has just given it waits for its outcome with this lock held.
         let _switching = shared.switching.lock().await;
-        if !engine::look(&shared).await {
+        if !engine::poll(&shared).await {
             continue;
         }
         let open = shared.orders.borrow().outstanding();
@@ -137,7 +137,7 @@
 async fn drain(shared: &StagerShared, until: Instant) {
     let until = until.min(Instant::now() + DRAIN_LIMIT);
     while Instant::now() < until {
-        engine::look(shared).await;
+        engine::poll(shared).await;
         let at_work = shared
             .report
             .borrow()
@@ -151,7 +151,7 @@
 }
 
 async fn order(shared: &StagerShared, weights: &Rc<CompleteWeights>, cut: bool) -> bool {
-    if !engine::look(shared).await {
+    if !engine::poll(shared).await {
         return false;
     }
     let begun = shared.report.borrow().as_ref().map_or(0, |report| report.orders_begun);
@@ -201,7 +201,7 @@
 async fn await_version(shared: &StagerShared, key: &WeightsKey, outcome: OrderOutcome) -> bool {
     let began = Instant::now();
     loop {
-        engine::look(shared).await;
+        engine::poll(shared).await;
         if holds(shared, key) {
             tracing::info!(
                 version = key.version,
