--- a/crates/stager/src/fencing.rs
+++ b/crates/stager/src/fencing.rs
@@ -128,7 +128,7 @@
             FenceOutcome::Inconclusive
         }
         Err(error) => {
-            tracing::info!(%error, fence = fencing_token, "failed to send the order that raises the engine's fence, or to get its answer");
+            tracing::info!(%error, fence = fencing_token, "no answer to the order that raises the engine's fence");
             FenceOutcome::Inconclusive
         }
     }
--- a/tests/all/order_fence.rs
+++ b/tests/all/order_fence.rs
@@ -1,4 +1,4 @@
-//! Fencing tokens of agents that follow each other at one engine, against a model of the engine.
+//! Fencing tokens of successive agent processes at one engine, checked against a model of the engine.
 
 use egretseam_proto::ModelName;
 use egretseam_serving::{HeldModel, Incarnation};
@@ -10,12 +10,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time of day when the first agent starts.
-const BEGAN: Duration = Duration::from_secs(1_800_000_000);
+/// Time since the epoch when the first agent process starts.
+const FIRST_START: Duration = Duration::from_secs(1_800_000_000);
 
-/// What an engine that holds a version makes of orders for it.
+/// An engine that holds a version and receives orders for it.
 #[derive(Default)]
 struct FenceModel {
+    /// Highest token accepted.
     fence: u64,
 }
 
@@ -27,35 +28,36 @@
     }
 }
 
-/// Raises the fence as an agent does; returns how many orders that took.
+/// Raises the fence as an agent does; returns how many orders it sent.
 fn raise(fence: &mut OrderFence, engine: &mut FenceModel) -> u32 {
-    let mut tries = 0;
+    let mut attempts = 0;
     while !fence.is_raised() {
-        tries += 1;
-        assert!(tries < 10, "the fence cannot be raised");
+        attempts += 1;
+        assert!(attempts < 10, "fence not raised after 9 orders");
         if engine.accepts(fence.next_token()) {
             fence.record_accepted();
         } else {
             fence.record_fencing_rejection();
         }
     }
-    tries
+    attempts
 }
 
-/// One run of the agent: by how many milliseconds its clock is wrong, how long it runs, and how many
-/// orders it sends, the last of which the engine does not see before the next run.
+/// One agent process.
 #[derive(Clone, Copy, Debug)]
-struct AgentRun {
+struct AgentProcess {
+    /// How far its clock is ahead of true time.
     clock_error_millis: i64,
-    lasts_millis: u64,
+    uptime_millis: u64,
+    /// Orders that it sends. The last one does not reach the engine before the next process starts.
     orders: u32,
 }
 
-fn run() -> impl Strategy<Value = AgentRun> {
+fn process() -> impl Strategy<Value = AgentProcess> {
     (-8_000..8_000_i64, 1..20_000_u64, 1..50_u32).prop_map(
-        |(clock_error_millis, lasts_millis, orders)| AgentRun {
+        |(clock_error_millis, uptime_millis, orders)| AgentProcess {
             clock_error_millis,
-            lasts_millis,
+            uptime_millis,
             orders,
         },
     )
@@ -69,39 +71,42 @@
         ..Config::default()
     })]
 
-    /// Guards against late orders of a former agent that pass the fence since the clock was set back.
+    /// Guards against late orders of a previous agent process that pass the fence because the clock was
+    /// set back when the next process started.
     #[test]
-    fn orders_of_all_former_agents_are_refused(runs in prop::collection::vec(run(), 1..12)) {
+    fn orders_of_all_previous_processes_are_rejected(
+        processes in prop::collection::vec(process(), 1..12),
+    ) {
         let mut engine = FenceModel::default();
-        let mut now = BEGAN;
-        let mut open = Vec::new();
-        for run in runs {
-            let clock = now.as_millis() as i64 + run.clock_error_millis;
+        let mut now = FIRST_START;
+        let mut outstanding = Vec::new();
+        for process in processes {
+            let clock = now.as_millis() as i64 + process.clock_error_millis;
             let mut fence = OrderFence::new(Duration::from_millis(clock as u64));
             prop_assert!(engine.fence == 0 || !engine.accepts(fence.next_probe_token()));
             raise(&mut fence, &mut engine);
-            for late in &open {
-                prop_assert!(!engine.accepts(*late), "{late} passes");
+            for late in &outstanding {
+                prop_assert!(!engine.accepts(*late), "late order with token {late} accepted");
             }
-            for _ in 1..run.orders {
+            for _ in 1..process.orders {
                 prop_assert!(engine.accepts(fence.next_token()));
             }
-            open.push(fence.next_token());
-            now += Duration::from_millis(run.lasts_millis);
+            outstanding.push(fence.next_token());
+            now += Duration::from_millis(process.uptime_millis);
         }
     }
 }
 
-/// Guards against a refused token that is given again.
+/// Guards against reuse of a rejected token.
 #[test]
-fn no_token_is_given_twice() {
-    let mut fence = OrderFence::new(BEGAN);
-    let mut given = vec![fence.next_probe_token(), fence.next_probe_token()];
+fn no_token_is_issued_twice() {
+    let mut fence = OrderFence::new(FIRST_START);
+    let mut issued = vec![fence.next_probe_token(), fence.next_probe_token()];
     for _ in 0..3 {
-        given.push(fence.next_token());
+        issued.push(fence.next_token());
         fence.record_fencing_rejection();
     }
-    assert!(given.is_sorted_by(|before, after| before < after), "{given:?}");
+    assert!(issued.is_sorted_by(|before, after| before < after), "{issued:?}");
 }
 
 fn report(incarnation: Incarnation, orders_begun: u64, holds: bool) -> EngineReport {
@@ -110,9 +115,9 @@
     EngineReport { incarnation, models, orders_begun, ..EngineReport::default() }
 }
 
-/// Guards against trust in a fence that the engine has forgotten with its start.
+/// Guards against an agent that relies on a fence which its engine lost when it restarted.
 #[test]
-fn the_fence_is_raised_anew_in_each_run_of_the_engine() {
+fn the_fence_is_raised_again_for_each_incarnation_of_the_engine() {
     let unstated = Incarnation::UNSTATED;
     let before = report(unstated, 3, true);
     let cases = [
@@ -122,23 +127,23 @@
         (report(unstated, 0, false), false),
         (report(Incarnation::started_at(7), 3, true), false),
     ];
-    for (now, stays) in cases {
-        let mut fence = OrderFence::new(BEGAN);
+    for (now, stays_raised) in cases {
+        let mut fence = OrderFence::new(FIRST_START);
         fence.record_accepted();
         fence.apply_report(Some(&before), &now);
-        assert_eq!(fence.is_raised(), stays, "{now:?}");
+        assert_eq!(fence.is_raised(), stays_raised, "{now:?}");
     }
 }
 
-/// Guards against orders without end to an engine that takes none for the version it holds.
+/// Guards against an endless series of orders to an engine that rejects those for the version it holds.
 #[actix_rt::test]
-async fn a_fence_that_cannot_be_raised_is_left_for_seconds() {
+async fn raising_the_fence_is_retried_only_after_5_s() {
     let now = Instant::now();
-    let mut fence = OrderFence::new(BEGAN);
+    let mut fence = OrderFence::new(FIRST_START);
     assert!(fence.is_raise_due(now));
     fence.record_raise_failure(now);
     assert!(!fence.is_raise_due(now + Duration::from_secs(4)));
     assert!(fence.is_raise_due(now + Duration::from_secs(5)));
     fence.record_accepted();
-    assert!(!fence.is_raise_due(now + Duration::from_secs(5)), "it is raised");
+    assert!(!fence.is_raise_due(now + Duration::from_secs(5)), "already raised");
 }
--- a/tests/all/order_tracker.rs
+++ b/tests/all/order_tracker.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine that are lost, late or doubled, against a model of the engine.
+//! Orders to an engine that are lost, delayed or duplicated, checked against a model of the engine.
 
 use egretseam_proto::ModelName;
 use egretseam_rpc::WeightsKey;
@@ -16,33 +16,34 @@
     Rc::new(CompleteWeights { key, digests: Rc::new(digests), chunks: Vec::new() })
 }
 
-/// A copy of an order on its way to the engine.
+/// A copy of an order in flight to the engine.
 #[derive(Clone, Copy, Debug)]
-struct SentCopy {
+struct OrderCopy {
     version: u64,
-    begun_before: u64,
+    expected_orders_begun: u64,
 }
 
-/// What may happen next.
+/// An event in the model.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A newer version is named.
-    Name,
-    /// The agent looks at the engine, stages and orders what the ledger lets it, and then waits.
+    /// A newer version is published.
+    Publish,
+    /// The agent polls the engine, stages and orders the version that the tracker allows, and then
+    /// waits for the answer.
     Order,
-    /// The copy that the agent waits for reaches the engine, and its answer the agent.
+    /// The copy that the agent waits for reaches the engine, and the answer reaches the agent.
     Answer,
-    /// Some copy reaches the engine, and nothing comes back.
+    /// A copy reaches the engine, and its answer is lost.
     Arrive(usize),
-    /// Some copy is lost.
+    /// A copy is lost.
     Lose(usize),
-    /// The engine starts again; what was on its way to it ends with its connection.
+    /// The engine restarts; copies in flight to it are lost with their connections.
     Restart,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        2 => Just(Step::Name),
+        2 => Just(Step::Publish),
         6 => Just(Step::Order),
         2 => Just(Step::Answer),
         3 => any::<usize>().prop_map(Step::Arrive),
@@ -54,70 +55,70 @@
 /// An agent and its engine.
 #[derive(Default)]
 struct OrderModel {
-    ledger: OrderTracker,
-    wanted: u64,
-    staged: u64,
-    begun: u64,
-    held: u64,
-    on_the_way: Vec<SentCopy>,
+    tracker: OrderTracker,
+    wanted_version: u64,
+    staged_version: u64,
+    orders_begun: u64,
+    loaded_version: u64,
+    in_flight: Vec<OrderCopy>,
     /// Whether the agent still waits for the answer to the last copy.
-    waits: bool,
+    awaits_answer: bool,
 }
 
 impl OrderModel {
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
-            Step::Name => self.wanted += 1,
+            Step::Publish => self.wanted_version += 1,
             Step::Order => self.order(),
-            Step::Answer if self.waits => {
-                self.waits = false;
-                if let Some(copy) = self.on_the_way.pop() {
-                    let outcome = self.carry_out(copy);
-                    self.ledger.record_outcome(outcome);
+            Step::Answer if self.awaits_answer => {
+                self.awaits_answer = false;
+                if let Some(copy) = self.in_flight.pop() {
+                    let outcome = self.execute(copy);
+                    self.tracker.record_outcome(outcome);
                 }
             }
             Step::Answer => {}
             Step::Arrive(which) => {
-                if let Some(copy) = self.take(which) {
-                    self.carry_out(copy);
+                if let Some(copy) = self.remove_copy(which) {
+                    self.execute(copy);
                 }
             }
-            Step::Lose(which) => drop(self.take(which)),
+            Step::Lose(which) => drop(self.remove_copy(which)),
             Step::Restart => {
-                (self.begun, self.held, self.waits) = (0, 0, false);
-                self.on_the_way.clear();
+                (self.orders_begun, self.loaded_version, self.awaits_answer) = (0, 0, false);
+                self.in_flight.clear();
             }
         }
     }
 
     fn order(&mut self) {
-        if self.waits {
-            self.ledger.record_outcome(OrderOutcome::Unknown);
+        if self.awaits_answer {
+            self.tracker.record_outcome(OrderOutcome::Unknown);
         }
-        self.ledger.apply_orders_begun(self.begun);
-        let wanted = weights(self.wanted);
-        let next = self.ledger.outstanding_for_other(&wanted.key).unwrap_or(wanted);
-        self.staged = next.key.version;
-        let begun_before = self.ledger.record_sent(&next, self.begun);
-        self.on_the_way.push(SentCopy { version: self.staged, begun_before });
-        self.waits = true;
+        self.tracker.apply_orders_begun(self.orders_begun);
+        let wanted = weights(self.wanted_version);
+        let next = self.tracker.outstanding_for_other(&wanted.key).unwrap_or(wanted);
+        self.staged_version = next.key.version;
+        let expected_orders_begun = self.tracker.record_sent(&next, self.orders_begun);
+        self.in_flight.push(OrderCopy { version: self.staged_version, expected_orders_begun });
+        self.awaits_answer = true;
     }
 
-    fn take(&mut self, which: usize) -> Option<SentCopy> {
-        let at = which.checked_rem(self.on_the_way.len())?;
-        if at + 1 == self.on_the_way.len() {
-            self.waits = false;
+    fn remove_copy(&mut self, which: usize) -> Option<OrderCopy> {
+        let at = which.checked_rem(self.in_flight.len())?;
+        if at + 1 == self.in_flight.len() {
+            self.awaits_answer = false;
         }
-        Some(self.on_the_way.remove(at))
+        Some(self.in_flight.remove(at))
     }
 
-    fn carry_out(&mut self, copy: SentCopy) -> OrderOutcome {
-        if copy.begun_before != self.begun {
+    fn execute(&mut self, copy: OrderCopy) -> OrderOutcome {
+        if copy.expected_orders_begun != self.orders_begun {
             return OrderOutcome::Rejected;
         }
-        assert_eq!(copy.version, self.staged, "begun on another version's chunks");
-        self.begun += 1;
-        self.held = copy.version;
+        assert_eq!(copy.version, self.staged_version, "the engine loaded another version's chunks");
+        self.orders_begun += 1;
+        self.loaded_version = copy.version;
         OrderOutcome::Accepted
     }
 }
@@ -130,30 +131,30 @@
         ..Config::default()
     })]
 
-    /// What users would see: answers from mixed weights. Whatever becomes of the copies of an order,
-    /// the engine begins none while another version is staged.
+    /// Guards against answers from mixed weights: copies of an order are lost, delayed or duplicated, and
+    /// the engine begins one while another version is staged.
     #[test]
     fn no_order_begins_on_another_versions_chunks(steps in prop::collection::vec(step(), 1..60)) {
-        let mut model = OrderModel { wanted: 1, ..OrderModel::default() };
+        let mut model = OrderModel { wanted_version: 1, ..OrderModel::default() };
         for step in steps {
-            model.play(step);
+            model.apply(step);
         }
     }
 
-    /// What users would see: an engine that never gets the newest version. Once orders are answered
-    /// again, the version wanted is held after a few of them, whatever was open before.
+    /// Guards against an engine that never gets the newest version because the agent cannot settle an
+    /// outstanding order, although orders are answered again. Three answered orders must suffice.
     #[test]
-    fn the_newest_version_is_taken_once_orders_are_answered(
+    fn the_newest_version_is_loaded_once_orders_are_answered(
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        let mut model = OrderModel { wanted: 1, ..OrderModel::default() };
+        let mut model = OrderModel { wanted_version: 1, ..OrderModel::default() };
         for step in steps {
-            model.play(step);
+            model.apply(step);
         }
         for _ in 0..3 {
-            model.play(Step::Order);
-            model.play(Step::Answer);
+            model.apply(Step::Order);
+            model.apply(Step::Answer);
         }
-        prop_assert_eq!(model.held, model.wanted);
+        prop_assert_eq!(model.loaded_version, model.wanted_version);
     }
 }
--- a/tests/all/plan_following.rs
+++ b/tests/all/plan_following.rs
@@ -1,4 +1,4 @@
-//! How an agent follows control.
+//! How an agent receives plans from control.
 
 use crate::serving_tables::service;
 use egretseam_http::DaemonMetrics;
@@ -14,26 +14,26 @@
 use std::{cell::RefCell, net::TcpListener, rc::Rc, time::Duration};
 use tarpc::context::Context;
 
-/// How long anything may take that is waited for; far above what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for anything that the test waits for; far above what it takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn free_listener() -> TcpListener {
     TcpListener::bind(("127.0.0.1", 0)).expect("a free port")
 }
 
-/// A control member that has no plan and notes how long agents let it wait.
+/// A control member without a plan that records the wait that agents allow it.
 #[derive(Clone, Default)]
-struct NotingMember {
-    waits: Rc<RefCell<Vec<u64>>>,
+struct RecordingMember {
+    wait_millis: Rc<RefCell<Vec<u64>>>,
 }
 
-impl FeedService for NotingMember {
+impl FeedService for RecordingMember {
     async fn feed(self, _: Context, _: FeedCall) -> FeedReply {
-        unreachable!("no entry asks")
+        unreachable!("there is no entry")
     }
 
     async fn agent(self, _: Context, call: AgentCall) -> AgentReply {
-        self.waits.borrow_mut().push(call.wait_millis);
+        self.wait_millis.borrow_mut().push(call.wait_millis);
         AgentReply {
             run: 1,
             seen: 0,
@@ -53,15 +53,16 @@
     }
 }
 
-/// What users would see: added engines that serve three seconds later than the others. A control member
-/// is frozen while its machine accepts connections; agents that ask it first wait for news that never
-/// come. The first call to a member must ask for an answer at once, later ones may wait.
+/// Guards against added engines that serve three seconds later than the others: a control member is
+/// frozen while its machine still accepts connections, and agents that call it first wait for a change
+/// of the plan that never arrives. The first call to a member must ask for an immediate answer; later
+/// ones may wait.
 #[actix_rt::test]
-async fn the_first_call_to_a_member_does_not_wait_for_news() {
+async fn the_first_call_to_a_member_asks_for_an_immediate_answer() {
     let secret = PeerSecret::derive("a token of the test");
     let (feeds, chunks) = (free_listener(), free_listener());
     let seed = feeds.local_addr().expect("bound").to_string();
-    let member = NotingMember::default();
+    let member = RecordingMember::default();
     let _server = serve_feed(feeds, secret, RpcOptions::default(), member.clone()).expect("served");
     let options = StagerOptions {
         zone: ZoneName::try_from("z1").expect("a valid name"),
@@ -79,14 +80,14 @@
     let metrics = DaemonMetrics::new();
     let listeners = StagerListeners { chunks };
     let _agent = StagerRuntime::start(options, Rc::new(PlatformEngine), listeners, &metrics)
-        .expect("it starts");
+        .expect("the agent starts");
     let two_calls = async {
-        while member.waits.borrow().len() < 2 {
+        while member.wait_millis.borrow().len() < 2 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, two_calls).await.expect("the agent asks");
-    let waits = member.waits.borrow().clone();
-    assert_eq!(waits[0], 0, "the first call");
-    assert!(waits[1] > 0, "the second one");
+    tokio::time::timeout(TEST_TIMEOUT, two_calls).await.expect("the agent calls twice");
+    let waits = member.wait_millis.borrow().clone();
+    assert_eq!(waits[0], 0, "wait of the first call");
+    assert!(waits[1] > 0, "wait of the second call");
 }
