--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -250,7 +250,7 @@
     arrivals: u32,
     unreached: usize,
 ) -> bool {
-    let repeatable = !failure.may_have_run() || request.route.kind.may_repeat();
+    let repeatable = !failure.may_have_run() || request.route.kind.may_retry();
     if !repeatable || Instant::now() >= request.deadline || unreached > MAX_UNREACHED {
         return false;
     }
@@ -300,8 +300,8 @@
         model: request.terms.model.as_ref(),
         tried,
         claim: request.claim(),
-        begin_by: (!is_first && limits.awaits_stream).then(|| limits.wait_until()),
-        latest: if is_first { request.deadline } else { limits.wait_until() },
+        first_byte_deadline: (!is_first && limits.awaits_stream).then(|| limits.wait_deadline()),
+        latest: if is_first { request.deadline } else { limits.wait_deadline() },
     };
     let reply = tokio::select! {
         biased;
@@ -329,7 +329,7 @@
     let answer = match opened {
         Ok(answer) => answer,
         Err(AttemptFailure::OtherTarget) => {
-            shared.places.borrow_mut().targets.note_gone(&placed.target, Instant::now());
+            shared.places.borrow_mut().targets.remove_target(&placed.target, Instant::now());
             shared.pool.borrow_mut().forget(&placed.target);
             placed.finish(AttemptOutcome::Failed);
             return Err(AttemptFailure::OtherTarget);
@@ -394,16 +394,16 @@
     arrivals: u32,
 ) -> Instant {
     let route = &request.route;
-    let may_repeat = route.kind.may_repeat() && arrivals + 1 < most_arrivals(shared, request);
-    if !may_repeat {
+    let may_retry = route.kind.may_retry() && arrivals + 1 < most_arrivals(shared, request);
+    if !may_retry {
         return request.deadline;
     }
-    let patience = request.limits(shared.options.callers_stay).attempt_until(Instant::now());
+    let patience = request.limits(shared.options.callers_stay).attempt_deadline(Instant::now());
     let model = request.terms.model.as_ref();
     let places = shared.places.borrow();
     // Failure guarded: a request waits in a full engine until after the bound and begins on old
     // weights. It is taken back before, while there is still time to close its connection.
-    let leave_by = model.and_then(|model| places.targets.leave_by(target, model));
+    let leave_by = model.and_then(|model| places.targets.start_deadline(target, model));
     leave_by.map_or(patience, |leave_by| patience.min(leave_by + LEAVE_SLACK))
 }
 
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -11,7 +11,7 @@
 //!   own requests showed; [`TargetTable::choose`] places a request.
 //! - [`WaitQueue`]: where requests wait for a place, and when they are rejected instead.
 //! - [`PeerList`]: at control, the agents that exchange chunks, with numbered changes.
-//! - [`PatienceTable`]: how long a caller has been trying.
+//! - [`RetryDetector`]: how long a caller has been trying.
 //! - [`AttemptLimits`]: how long attempts and waits may take before the caller leaves.
 //! - [`RetryBudget`]: the entry's part of the repeats that a service may get.
 //! - [`EntryRoster`]: which entries callers may be sent to.
@@ -22,44 +22,44 @@
 mod config_holder;
 mod entries;
 mod health;
-mod news;
-mod patience;
 mod peer_list;
 mod placement;
 mod raw;
 mod registry;
 mod retry_budget;
-mod roster_pace;
+mod retry_detector;
+mod roster_batcher;
 mod route_table;
+mod status;
 mod switch_schedule;
 mod target_table;
 mod wait_queue;
 
 pub use crate::{
-    attempt_limits::{AttemptLimits, USUAL_STAY},
+    attempt_limits::{AttemptLimits, DEFAULT_STREAM_IDLE_TIMEOUT},
     config::{
         CallerLimits, Destination, EngineRecord, OrganisationRecord, OriginRecord, RouteKind,
         RouteRecord, ServiceRecord, ServingConfig,
     },
-    config_holder::{ConfigHolder, ConfigWish, TakeError},
-    entries::{EntryRoster, EntrySighting},
+    config_holder::{ConfigApplyError, ConfigHolder, ConfigRequest},
+    entries::{EntryObservation, EntryRoster},
     health::{AttemptOutcome, TargetHealth},
-    news::{
-        EngineNews, EntryRecord, HeldModel, Incarnation, NamedVersion, TargetId, TargetNews,
-        TargetRecord, TargetState,
-    },
-    patience::PatienceTable,
-    peer_list::{PeerList, PeerMap, PeerUpdate, SwarmPeer, apply_peers},
-    placement::{Choice, PlacementNeed, PlacementPolicy},
+    peer_list::{PeerList, PeerMap, PeerUpdate, SwarmPeer, apply_peer_updates},
+    placement::{PlacementOutcome, PlacementPolicy, PlacementQuery},
     raw::{
         ConfigError, RawDestination, RawEngine, RawLimits, RawOrganisation, RawOrigin, RawRoute,
         RawService, RawServing,
     },
     registry::{AnnounceOutcome, LeaveOutcome, TargetRegistry},
     retry_budget::{RetryBudget, RetryPolicy},
-    roster_pace::RosterPace,
+    retry_detector::RetryDetector,
+    roster_batcher::RosterBatcher,
     route_table::{AccessError, KeyHolder, RouteTable},
-    switch_schedule::{OlderVersionUse, OlderVersionView, SwitchSchedule, SwitchTiming},
+    status::{
+        EngineStatus, EntryRecord, HeldModel, Incarnation, PublishedVersion, TargetId,
+        TargetRecord, TargetState, TargetStatus,
+    },
+    switch_schedule::{OlderVersionPolicy, OlderVersionState, SwitchSchedule, SwitchTiming},
     target_table::{LoadSample, TargetTable},
-    wait_queue::{WaitClaim, WaitPolicy, WaitQueue, WaitTicket},
+    wait_queue::{WaitPolicy, WaitQueue, WaitTicket, WaitUrgency},
 };
--- a/crates/serving/src/wait_queue.rs
+++ b/crates/serving/src/wait_queue.rs
@@ -28,18 +28,18 @@
 pub struct WaitPolicy {
     /// Part of the latency objective that a request may spend waiting; the rest is for reading
     /// its prompt at the target.
-    pub objective_share: f64,
+    pub max_objective_share: f64,
     /// Time kept for the first byte at the target, as a multiple of what is usual there. A request
     /// that waits longer is late however soon it is then read, and keeps the next one from being
     /// in time.
-    pub reading_reserve: f64,
+    pub first_byte_reserve: f64,
     /// Shortest limit of a wait, whatever is usual at the targets: about what it takes until one
     /// of a full engine's places comes free.
-    pub shortest: Duration,
+    pub min_limit: Duration,
     /// Part of the latency objective within which requests are rejected while many are.
-    pub quick_share: f64,
+    pub overload_objective_share: f64,
     /// Longest wait whatever the objective.
-    pub longest: Duration,
+    pub max_limit: Duration,
     /// Longest wait of a stream that broke off: no more than callers take for a pause.
     pub resumed_limit: Duration,
     /// Longest wait of a request that is late already. It goes behind all that are not, and its
@@ -53,25 +53,25 @@
     /// Most requests waiting.
     pub max_waiters: usize,
     /// Shortest time after which a refused caller is asked to come back.
-    pub shortest_return: Duration,
+    pub min_retry_after: Duration,
     /// Longest time after which a refused caller is asked to come back.
-    pub longest_return: Duration,
+    pub max_retry_after: Duration,
 }
 
 impl Default for WaitPolicy {
     fn default() -> Self {
         Self {
-            objective_share: 0.6,
-            reading_reserve: 1.3,
-            shortest: Duration::from_millis(60),
-            quick_share: 0.125,
-            longest: Duration::from_secs(1),
+            max_objective_share: 0.6,
+            first_byte_reserve: 1.3,
+            min_limit: Duration::from_millis(60),
+            overload_objective_share: 0.125,
+            max_limit: Duration::from_secs(1),
             resumed_limit: Duration::from_millis(600),
             late_limit: Duration::from_millis(1_500),
             outage_limit: Duration::from_millis(1_500),
             max_waiters: 512,
-            shortest_return: Duration::from_millis(1_000),
-            longest_return: Duration::from_millis(2_000),
+            min_retry_after: Duration::from_millis(1_000),
+            max_retry_after: Duration::from_millis(2_000),
         }
     }
 }
@@ -89,7 +89,7 @@
 
 /// What a request may claim of its wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WaitClaim {
+pub struct WaitUrgency {
     rank: WaitRank,
     /// Its latency objective.
     objective: Duration,
@@ -97,7 +97,7 @@
     objective_left: Duration,
 }
 
-impl WaitClaim {
+impl WaitUrgency {
     /// A claim of a request whose caller has been trying for so long.
     pub fn new(priority: u8, objective: Duration, trying_for: Duration) -> Self {
         let objective_left = objective.saturating_sub(trying_for);
@@ -113,7 +113,7 @@
 
     /// The claim of a request that waits for the end of an outage: it will be late, and goes behind
     /// those that will not.
-    pub fn in_outage(self) -> Self {
+    pub fn for_outage(self) -> Self {
         let rank = match self.rank {
             WaitRank::InTime(priority) => WaitRank::Late(priority),
             WaitRank::Resumed | WaitRank::Late(_) => self.rank,
@@ -190,7 +190,7 @@
 
     /// How long a request may wait, where answers usually begin so long after the request is sent
     /// on.
-    pub fn wait_limit(&self, claim: &WaitClaim, usual_first_byte: Duration) -> Duration {
+    pub fn wait_limit(&self, claim: &WaitUrgency, usual_first_byte: Duration) -> Duration {
         let limit = match claim.rank {
             WaitRank::Resumed => return self.policy.resumed_limit,
             WaitRank::Late(_) => return self.policy.late_limit,
@@ -198,7 +198,7 @@
         };
         // Answers the load pattern of more requests than places for seconds: which of them get one
         // changes with longer waits, but not how many, and those rejected would be told later.
-        let quick = claim.objective.mul_f64(self.policy.quick_share);
+        let quick = claim.objective.mul_f64(self.policy.overload_objective_share);
         if self.is_overloaded() { limit.min(quick) } else { limit }
     }
 
@@ -209,25 +209,25 @@
 
     /// How long a request may wait that can still be in time.
     fn timely_limit(&self, objective_left: Duration, usual_first_byte: Duration) -> Duration {
-        let reading = usual_first_byte.mul_f64(self.policy.reading_reserve);
-        let left = objective_left.saturating_sub(reading).max(self.policy.shortest);
-        left.min(objective_left.mul_f64(self.policy.objective_share)).min(self.policy.longest)
+        let reading = usual_first_byte.mul_f64(self.policy.first_byte_reserve);
+        let left = objective_left.saturating_sub(reading).max(self.policy.min_limit);
+        left.min(objective_left.mul_f64(self.policy.max_objective_share)).min(self.policy.max_limit)
     }
 
     /// Counts a request that got a place, for the prediction.
-    pub fn note_placed(&mut self, now: Instant) {
+    pub fn record_placed(&mut self, now: Instant) {
         self.roll(now);
         self.present.placed += 1;
     }
 
     /// Counts a request that got a place although it was late already, for the prediction.
-    pub fn note_late_placed(&mut self, now: Instant) {
-        self.note_placed(now);
+    pub fn record_late_placed(&mut self, now: Instant) {
+        self.record_placed(now);
         self.present.placed_late += 1;
     }
 
     /// Counts a request that was rejected, on arrival or after a wait in vain.
-    pub fn note_rejected(&mut self, now: Instant) {
+    pub fn record_rejected(&mut self, now: Instant) {
         self.roll(now);
         self.present.rejected += 1;
     }
@@ -257,7 +257,7 @@
     /// Failure guarded: all places go to requests that can still be in time, and those that are late are
     /// held for 1.5 s and rejected then, with too little time left to be served anywhere. How fast places
     /// come free says nothing to them; how many of them got one of late does.
-    pub fn predicted_wait(&mut self, claim: &WaitClaim, now: Instant) -> Option<Duration> {
+    pub fn predicted_wait(&mut self, claim: &WaitUrgency, now: Instant) -> Option<Duration> {
         self.roll(now);
         let start = self.window_start.unwrap_or(now);
         let span = RATE_WINDOW + now.saturating_duration_since(start);
@@ -286,13 +286,17 @@
     /// Returns the payload if the predicted wait is too long or the queue is full.
     pub fn push(
         &mut self,
-        claim: &WaitClaim,
+        claim: &WaitUrgency,
         give_up_at: Instant,
         payload: T,
         now: Instant,
     ) -> Result<WaitTicket, T> {
         let hopeless = self.predicted_wait(claim, now).is_some_and(|wait| now + wait > give_up_at);
-        if hopeless { Err(payload) } else { self.hold(claim, give_up_at, payload) }
+        if hopeless {
+            Err(payload)
+        } else {
+            self.push_without_prediction(claim, give_up_at, payload)
+        }
     }
 
     /// Adds a request that waits for the end of an outage, of which the places given before it say
@@ -300,9 +304,9 @@
     ///
     /// # Errors
     /// Returns the payload if the queue is full.
-    pub fn hold(
+    pub fn push_without_prediction(
         &mut self,
-        claim: &WaitClaim,
+        claim: &WaitUrgency,
         give_up_at: Instant,
         payload: T,
     ) -> Result<WaitTicket, T> {
@@ -321,7 +325,7 @@
     }
 
     /// Takes out all whose time has come.
-    pub fn expired(&mut self, now: Instant) -> Vec<T> {
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<T> {
         let due: Vec<WaitTicket> = self
             .waiters
             .iter()
@@ -338,8 +342,8 @@
 
     /// When a refused caller should come back. `point` is drawn evenly from 0 to 1 and spreads
     /// callers, since all those refused in one burst would otherwise return as another.
-    pub fn return_after(&self, point: f64) -> Duration {
-        let range = self.policy.longest_return.saturating_sub(self.policy.shortest_return);
-        self.policy.shortest_return + range.mul_f64(point.clamp(0.0, 1.0))
+    pub fn retry_after(&self, point: f64) -> Duration {
+        let range = self.policy.max_retry_after.saturating_sub(self.policy.min_retry_after);
+        self.policy.min_retry_after + range.mul_f64(point.clamp(0.0, 1.0))
     }
 }
--- a/crates/stager/src/fencing.rs
+++ b/crates/stager/src/fencing.rs
@@ -114,7 +114,7 @@
     let expected_orders_begun = report.orders_begun;
     let order = LoadOrder { model, version, preempt: false, expected_orders_begun, fencing_token };
     shared.metrics.orders.inc();
-    match engine.order_kept(&shared.dialect.order_request(&order)).await {
+    match engine.order_on_same_connection(&shared.dialect.order_request(&order)).await {
         Ok(reply) if shared.dialect.is_fencing_rejection(reply.status) => FenceOutcome::HigherToken,
         Ok(reply) if shared.dialect.order_outcome(reply.status) == OrderOutcome::Accepted => {
             FenceOutcome::Accepted
--- a/crates/stager/src/loads.rs
+++ b/crates/stager/src/loads.rs
@@ -41,7 +41,7 @@
 /// The control member to send to, and how many requests run or wait in the engine, if both are
 /// known.
 fn sample(shared: &StagerShared) -> Option<(SocketAddr, u16)> {
-    let member = shared.member.get()?;
+    let member = shared.control_member.get()?;
     let report = shared.report.borrow();
     let report = report.as_ref()?;
     let busy =
--- a/crates/stager/src/probe.rs
+++ b/crates/stager/src/probe.rs
@@ -1,7 +1,7 @@
 //! Asking a few other agents all the time, to know how long anything is on its way over the own link.
 
 use crate::{
-    shared::{HeldPlan, StagerShared},
+    shared::{ReceivedPlan, StagerShared},
     transfer::peer_name,
 };
 use actix_rt::task::JoinHandle;
@@ -30,7 +30,7 @@
 const ANSWER_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// Asks for as long as the agent lives, and lets entries know.
-pub(crate) async fn probe(shared: Weak<StagerShared>) {
+pub(crate) async fn run(shared: Weak<StagerShared>) {
     let Some(held) = shared.upgrade() else { return };
     let mut plan = held.plan.subscribe();
     drop(held);
@@ -42,7 +42,7 @@
         let Some(shared) = shared.upgrade() else { return };
         let now = Instant::now();
         if now.saturating_duration_since(looked_at) > STOPPED {
-            shared.path.borrow_mut().note_stopped(now);
+            shared.path.borrow_mut().record_process_pause(now);
         }
         looked_at = now;
         if plan.has_changed().unwrap_or(false) {
@@ -51,7 +51,7 @@
             drop(held);
             follow_peers(&shared, &peers, &mut tasks);
         }
-        shared.heed_link();
+        shared.adapt_to_link();
     }
 }
 
@@ -77,7 +77,7 @@
 
 /// The next agents behind this one, in the order of addresses, those of the own availability zone first:
 /// what is asked there crosses no zone.
-fn neighbours(shared: &StagerShared, plan: &HeldPlan) -> Vec<SocketAddr> {
+fn neighbours(shared: &StagerShared, plan: &ReceivedPlan) -> Vec<SocketAddr> {
     let own = shared.options.target;
     let mut peers: Vec<&SwarmPeer> = plan.peers.iter().filter(|peer| peer.target != own).collect();
     peers.sort_by_key(|peer| (peer.zone != shared.options.zone, peer.target < own, peer.target));
@@ -93,18 +93,18 @@
     let name = peer_name(target);
     loop {
         let Some(held) = shared.upgrade() else { return };
-        held.path.borrow_mut().note_asked(&name, Instant::now());
+        held.path.borrow_mut().record_probe_sent(&name, Instant::now());
         drop(held);
         let answer = link.echo().await;
         let Some(held) = shared.upgrade() else { return };
         let pause = match answer {
             Ok(()) => {
-                held.path.borrow_mut().note_answered(&name, Instant::now());
+                held.path.borrow_mut().record_reply(&name, Instant::now());
                 PAUSE
             }
             Err(error) => {
                 tracing::debug!(%error, "a peer does not answer a probe");
-                held.path.borrow_mut().note_failed(&name);
+                held.path.borrow_mut().record_unreachable(&name);
                 PAUSE_AFTER_FAILURE
             }
         };
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -1,7 +1,7 @@
 //! Having the engine take staged weights.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     contents,
     dialect::{LoadOrder, OrderOutcome},
     engine, fencing, former_orders,
@@ -60,7 +60,7 @@
     if !is_resolved || !settle(shared, key, cut, drain_until).await {
         return false;
     }
-    let whole = shared.chunks.borrow().get(key).and_then(HeldWeights::whole);
+    let whole = shared.chunks.borrow().get(key).and_then(VersionChunks::complete);
     let Some(weights) = whole else { return false };
     stage_and_order(shared, &Rc::new(weights), cut, drain_until).await
 }
@@ -124,7 +124,7 @@
         return false;
     }
     // Entries are told before the engine is, so that no request meets an engine that refuses it.
-    let _ordering = shared.begin_ordering();
+    let _ordering = shared.begin_order();
     tokio::join!(tokio::time::sleep(TELL_AHEAD), contents::record(shared, &weights.digests));
     if cut {
         drain(shared, drain_until).await;
@@ -174,7 +174,7 @@
 
 async fn send(shared: &StagerShared, order: &LoadOrder<'_>) -> OrderOutcome {
     shared.metrics.orders.inc();
-    let outcome = match shared.order_engine(&shared.dialect.order_request(order)).await {
+    let outcome = match shared.send_order(&shared.dialect.order_request(order)).await {
         Ok(reply) => {
             if shared.dialect.is_fencing_rejection(reply.status) {
                 shared.fence.borrow_mut().record_fencing_rejection();
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -1,7 +1,7 @@
 //! Carrying out the planner's orders for one version.
 
 use crate::{
-    chunks::HeldWeights,
+    chunks::VersionChunks,
     digests::WeightDigests,
     downloads::{ChunkSource, PartError},
     shared::{StagerShared, request},
@@ -70,32 +70,33 @@
     pub(crate) fn new(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
-        weights: &HeldWeights,
+        weights: &VersionChunks,
     ) -> Rc<Self> {
         Self::with_policy(shared, plan, weights, shared.options.planner)
     }
 
     /// The same without ever fetching from the origin.
-    pub(crate) fn from_peers(
+    pub(crate) fn without_origin(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
-        weights: &HeldWeights,
+        weights: &VersionChunks,
     ) -> Rc<Self> {
-        let policy = PlannerPolicy { seeders: 0, ..shared.options.planner };
+        let policy = PlannerPolicy { max_seeders: 0, ..shared.options.planner };
         Self::with_policy(shared, plan, weights, policy)
     }
 
     fn with_policy(
         shared: &Rc<StagerShared>,
         plan: &WeightsPlan,
-        weights: &HeldWeights,
+        weights: &VersionChunks,
         policy: PlannerPolicy,
     ) -> Rc<Self> {
         let own = PlannerPeer {
             name: peer_name(shared.options.target),
             zone: shared.options.zone.clone(),
         };
-        let mut planner = SwarmPlanner::new(own, policy, weights.held().clone(), Duration::ZERO);
+        let mut planner =
+            SwarmPlanner::new(own, policy, weights.chunk_set().clone(), Duration::ZERO);
         planner.set_origin_zone(plan.origin_zone.clone());
         Rc::new(Self {
             shared: shared.clone(),
@@ -113,17 +114,17 @@
     }
 
     /// Chunks fetched from the origin so far.
-    pub(crate) fn fetched_from_origin(&self) -> u32 {
+    pub(crate) fn origin_chunks(&self) -> u32 {
         self.from_origin.get()
     }
 
     /// Time until the last of them was here.
-    pub(crate) fn origin_done_in(&self) -> Duration {
+    pub(crate) fn last_origin_chunk_after(&self) -> Duration {
         self.origin_done_at.get()
     }
 
     /// Chunks fetched from other availability zones so far.
-    pub(crate) fn across_zones(&self) -> u64 {
+    pub(crate) fn cross_zone_chunks(&self) -> u64 {
         self.planner.borrow().cross_zone_chunks()
     }
 
@@ -164,7 +165,7 @@
         let mut fetches = FetchTasks::default();
         while !self.planner.borrow().have().is_full() {
             let at_a_time = self.shared.downloads.fetches();
-            self.planner.borrow_mut().set_peer_fetches(at_a_time);
+            self.planner.borrow_mut().set_max_peer_fetches(at_a_time);
             let orders = self.planner.borrow_mut().plan(self.now());
             for order in orders {
                 let (transfer, results) = (self.clone(), results.clone());
@@ -181,7 +182,7 @@
                 () = self.wake.notified() => {}
                 () = tokio::time::sleep(PLAN_INTERVAL) => {}
             }
-            self.shared.heed_link();
+            self.shared.adapt_to_link();
             if self.wrong.borrow().values().any(|count| *count >= WRONG_DIGEST) {
                 return false;
             }
@@ -197,13 +198,13 @@
                 self.shared.metrics.chunks_bad.inc();
                 *self.wrong.borrow_mut().entry(order.chunk).or_insert(0) += 1;
                 let now = self.now();
-                self.planner.borrow_mut().note_failed(order, FetchFailure::Corrupt, now);
+                self.planner.borrow_mut().record_failed(order, FetchFailure::Corrupt, now);
                 return;
             }
             Err(failure) => {
                 tracing::debug!(chunk = order.chunk, source = ?order.source, ?failure, "a chunk was not fetched");
                 let now = self.now();
-                self.planner.borrow_mut().note_failed(order, failure, now);
+                self.planner.borrow_mut().record_failed(order, failure, now);
                 return;
             }
         };
@@ -216,7 +217,7 @@
             SourceChoice::Peer(_) => self.shared.metrics.chunks_from_peers.inc(),
         }
         let now = self.now();
-        let is_new = self.planner.borrow_mut().note_fetched(order, now);
+        let is_new = self.planner.borrow_mut().record_fetched(order, now);
         if let Some(weights) = self.shared.chunks.borrow_mut().get_mut(&self.key)
             && is_new
         {
@@ -230,14 +231,14 @@
             SourceChoice::Peer(name) => {
                 let link = self.links.borrow().get(name).cloned();
                 let link = link.ok_or(FetchFailure::Absent)?;
-                let is_near = self.planner.borrow().is_near(name);
+                let is_near = self.planner.borrow().is_same_zone(name);
                 let (key, chunk) = (&self.key, order.chunk);
                 let source = ChunkSource { link: &link, is_near, key, chunk };
                 let answer = self.shared.downloads.chunk(&source).await;
-                self.shared.heed_link();
+                self.shared.adapt_to_link();
                 match answer {
                     Ok(chunk) => {
-                        self.planner.borrow_mut().note_queued(name, chunk.queued);
+                        self.planner.borrow_mut().record_queue_delay(name, chunk.queued);
                         Ok(chunk.bytes)
                     }
                     Err(PartError::Absent) => Err(FetchFailure::Absent),
@@ -252,7 +253,7 @@
 
     /// One line when the origin is lost and one when it is back.
     fn note_origin(&self, answers: bool) {
-        if self.shared.origin_lost.replace(!answers) == answers {
+        if self.shared.origin_unreachable.replace(!answers) == answers {
             tracing::info!(answers, version = self.key.version, "the origin of weights");
         }
     }
@@ -318,14 +319,14 @@
         let reply = answer.ok().flatten();
         if reply.as_ref().is_some_and(|reply| reply.origin_lost) {
             let now = transfer.now();
-            transfer.planner.borrow_mut().note_origin_lost(now);
+            transfer.planner.borrow_mut().record_origin_unreachable(now);
         }
         let held = reply.and_then(|reply| ChunkSet::from_text(&reply.chunks, count));
         let pause = match held {
             Some(held) => {
                 known = held.count();
                 let now = transfer.now();
-                transfer.planner.borrow_mut().note_have(&name, held, now);
+                transfer.planner.borrow_mut().apply_have(&name, held, now);
                 transfer.wake.notify_one();
                 if known == count {
                     return;
--- a/tests/all/narrow_links.rs
+++ b/tests/all/narrow_links.rs
@@ -1,8 +1,8 @@
 //! What an instance makes of its own link when it narrows.
 
 use crate::serving_tables::{choose, id, link_news, table};
-use egretseam_serving::Choice;
-use egretseam_swarm::LinkDelay;
+use egretseam_serving::PlacementOutcome;
+use egretseam_swarm::LinkMonitor;
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
 
@@ -15,7 +15,7 @@
 
 /// Chunks that come one behind the other over a link, so many of them under way at any time.
 struct ChunkLine {
-    link: LinkDelay,
+    link: LinkMonitor,
     now: Instant,
     came_at: Instant,
     asked_at: VecDeque<Instant>,
@@ -25,7 +25,7 @@
     fn new(expected: Duration, under_way: usize) -> Self {
         let now = Instant::now();
         let asked_at = std::iter::repeat_n(now, under_way).collect();
-        Self { link: LinkDelay::new(expected), now, came_at: now, asked_at }
+        Self { link: LinkMonitor::new(expected), now, came_at: now, asked_at }
     }
 
     /// Plays a chunk that spends `each` on the link; returns what each look at the link finds meanwhile.
@@ -35,12 +35,12 @@
         while self.now + LOOK_INTERVAL < arrives_at {
             self.now += LOOK_INTERVAL;
             let quiet = self.now - self.came_at;
-            self.link.note_quiet(quiet, self.asked_at.len(), self.now);
+            self.link.record_no_arrival(quiet, self.asked_at.len(), self.now);
             known.push(self.link.delay(self.now));
         }
         (self.now, self.came_at) = (arrives_at, arrives_at);
         let asked_at = self.asked_at.pop_front().expect("one is under way");
-        self.link.note(arrives_at - asked_at, self.asked_at.len(), arrives_at);
+        self.link.record(arrives_at - asked_at, self.asked_at.len(), arrives_at);
         self.asked_at.push_back(arrives_at);
         known.push(self.link.delay(self.now));
         known
@@ -72,21 +72,24 @@
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for host in [1, 2] {
-        table.note_engine(&link_news(host, 1_000), now);
+        table.apply_engine(&link_news(host, 1_000), now);
     }
     for _ in 0..50 {
-        assert_eq!(choose(&table, &[], now), Choice::Target(id(3)));
+        assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(3)));
     }
     for _ in 0..4 {
-        table.begin(&id(3), now);
+        table.start_attempt(&id(3), now);
     }
-    assert_eq!(choose(&table, &[], now), Choice::Full, "a place is waited for");
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Full, "a place is waited for");
     let retried = choose(&table, &[id(3)], now);
-    assert!(matches!(retried, Choice::Target(_)), "nothing better is left to it");
-    table.note_engine(&link_news(3, 1_000), now);
-    assert!(matches!(choose(&table, &[], now), Choice::Target(_)), "there is nothing better");
-    table.note_engine(&link_news(1, 0), now);
+    assert!(matches!(retried, PlacementOutcome::Target(_)), "nothing better is left to it");
+    table.apply_engine(&link_news(3, 1_000), now);
+    assert!(
+        matches!(choose(&table, &[], now), PlacementOutcome::Target(_)),
+        "there is nothing better"
+    );
+    table.apply_engine(&link_news(1, 0), now);
     for _ in 0..50 {
-        assert_eq!(choose(&table, &[], now), Choice::Target(id(1)), "it has widened");
+        assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)), "it has widened");
     }
 }
--- a/tests/all/plan_following.rs
+++ b/tests/all/plan_following.rs
@@ -75,7 +75,7 @@
         upload_bytes_per_second: 1_000_000,
         fetches_early: true,
         finishes_older: true,
-        switch_timing: SwitchTiming { bound: Duration::ZERO, reserve: Duration::ZERO },
+        switch_timing: SwitchTiming { staleness_bound: Duration::ZERO, reserve: Duration::ZERO },
     };
     let metrics = DaemonMetrics::new();
     let listeners = StagerListeners { chunks };
--- a/tests/all/serving_tables.rs
+++ b/tests/all/serving_tables.rs
@@ -2,9 +2,23 @@
 
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AnnounceOutcome, AttemptOutcome, Choice, EngineNews, EntryRecord, EntryRoster, HeldModel,
-    Incarnation, PlacementNeed, PlacementPolicy, RosterPace, TargetId, TargetNews, TargetRecord,
-    TargetRegistry, TargetState, TargetTable,
+    AnnounceOutcome,
+    AttemptOutcome,
+    EngineStatus,
+    EntryRecord,
+    EntryRoster,
+    HeldModel,
+    Incarnation,
+    PlacementOutcome,
+    PlacementPolicy,
+    PlacementQuery,
+    RosterBatcher,
+    TargetId,
+    TargetRecord,
+    TargetRegistry,
+    TargetState,
+    TargetStatus,
+    TargetTable,
 };
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
@@ -45,21 +59,21 @@
     }
 }
 
-pub(crate) fn news(record: TargetRecord) -> TargetNews {
-    TargetNews { record, silent: false, age_millis: 0 }
+pub(crate) fn news(record: TargetRecord) -> TargetStatus {
+    TargetStatus { record, silent: false, age_millis: 0 }
 }
 
 pub(crate) fn table(hosts: &[u8], now: Instant) -> TargetTable {
     let mut table = TargetTable::new(PlacementPolicy::default(), zone("z1"));
     for host in hosts {
-        table.note_target(0, &news(record(*host, 1, TargetState::Ready)), now);
+        table.apply_target(0, &news(record(*host, 1, TargetState::Ready)), now);
     }
     table
 }
 
 /// What the agent beside a host says of its link.
-pub(crate) fn link_news(host: u8, link_delay_millis: u64) -> EngineNews {
-    EngineNews {
+pub(crate) fn link_news(host: u8, link_delay_millis: u64) -> EngineStatus {
+    EngineStatus {
         address: address(host),
         incarnation: Incarnation::UNSTATED,
         models: held(1),
@@ -75,11 +89,11 @@
     service: &'a ServiceName,
     model: &'a ModelName,
     tried: &'a [TargetId],
-) -> PlacementNeed<'a> {
-    PlacementNeed { service, model: Some(model), tried, late: false, begin_by: None }
+) -> PlacementQuery<'a> {
+    PlacementQuery { service, model: Some(model), tried, late: false, first_byte_deadline: None }
 }
 
-pub(crate) fn choose(table: &TargetTable, tried: &[TargetId], now: Instant) -> Choice {
+pub(crate) fn choose(table: &TargetTable, tried: &[TargetId], now: Instant) -> PlacementOutcome {
     let (service, model) = (service(), model());
     table.choose(&need(&service, &model, tried), now)
 }
@@ -95,7 +109,10 @@
 async fn stale_announcements_never_bring_a_target_back() {
     let now = Instant::now();
     let mut registry = TargetRegistry::new(SILENCE);
-    assert_eq!(registry.announce(record(1, 2, TargetState::Draining), now), AnnounceOutcome::Taken);
+    assert_eq!(
+        registry.announce(record(1, 2, TargetState::Draining), now),
+        AnnounceOutcome::Accepted
+    );
     assert_eq!(registry.announce(record(1, 1, TargetState::Ready), now), AnnounceOutcome::Stale);
     assert_eq!(registry.announce(record(1, 3, TargetState::Ready), now), AnnounceOutcome::Stale);
     registry.remove(&id(1), now);
@@ -112,7 +129,7 @@
     let now = Instant::now();
     let mut registry = TargetRegistry::new(SILENCE);
     registry.announce(record(1, 1, TargetState::Ready), now);
-    let seen = registry.number();
+    let seen = registry.change_number();
     registry.announce(record(1, 2, TargetState::Ready), now);
     assert!(registry.targets_since(seen, now).is_empty(), "only the sequence number changed");
     let later = now + SILENCE + Duration::from_millis(1);
@@ -128,12 +145,12 @@
 async fn targets_outlive_all_of_control() {
     let now = Instant::now();
     let mut table = table(&[1], now);
-    table.note_target(1, &news(record(1, 1, TargetState::Ready)), now);
+    table.apply_target(1, &news(record(1, 1, TargetState::Ready)), now);
     table.source_lost(0);
     table.source_lost(1);
     let later = now + Duration::from_secs(600);
     table.expire(later);
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
 /// What users would see: requests at a target that crashed while a control member restarted. Its
@@ -144,28 +161,28 @@
     let now = Instant::now();
     let mut table = table(&[1], now);
     table.source_restarted(0, now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)));
     let later = now + Duration::from_secs(5);
-    assert_eq!(choose(&table, &[], later), Choice::NoTarget);
-    table.note_target(0, &news(record(1, 2, TargetState::Ready)), later);
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::NoTarget);
+    table.apply_target(0, &news(record(1, 2, TargetState::Ready)), later);
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
 #[actix_rt::test]
 async fn full_targets_get_nothing_and_others_do() {
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
-    table.note_load(&id(1), 4, now);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(2)), "a new target is tried");
-    table.note_load(&id(2), 0, now);
+    table.record_load(&id(1), 4, now);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(2)), "a new target is tried");
+    table.record_load(&id(2), 0, now);
     for _ in 0..4 {
-        assert_eq!(choose(&table, &[], now), Choice::Target(id(2)));
-        table.begin(&id(2), now);
+        assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(2)));
+        table.start_attempt(&id(2), now);
     }
-    assert_eq!(choose(&table, &[], now), Choice::Full);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Full);
     // What others do there fades, so that nobody is avoided for ever on an old word.
     let later = now + Duration::from_secs(3);
-    assert_eq!(choose(&table, &[], later), Choice::Target(id(1)));
+    assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
 #[actix_rt::test]
@@ -173,21 +190,25 @@
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
     for at in 0..100 {
-        table.begin(&id(1), now);
+        table.start_attempt(&id(1), now);
         let outcome = if at % 50 == 49 { AttemptOutcome::Failed } else { AttemptOutcome::Answered };
-        assert!(!table.end(&id(1), outcome, now), "one in fifty must stay in service");
+        assert!(!table.finish_attempt(&id(1), outcome, now), "one in fifty must stay in service");
     }
     let mut rested = false;
     for at in 0..12 {
-        table.begin(&id(2), now);
+        table.start_attempt(&id(2), now);
         let outcome = if at % 2 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Answered };
-        rested |= table.end(&id(2), outcome, now);
+        rested |= table.finish_attempt(&id(2), outcome, now);
     }
     assert!(rested);
-    assert_eq!(choose(&table, &[], now), Choice::Target(id(1)));
-    assert_eq!(choose(&table, &[id(1)], now), Choice::Full);
+    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)));
+    assert_eq!(choose(&table, &[id(1)], now), PlacementOutcome::Full);
     let later = now + Duration::from_secs(7);
-    assert_eq!(choose(&table, &[id(1)], later), Choice::Target(id(2)), "it is tried again");
+    assert_eq!(
+        choose(&table, &[id(1)], later),
+        PlacementOutcome::Target(id(2)),
+        "it is tried again"
+    );
 }
 
 /// What users would see: all callers of a zone are late, and some get no connection at all. Every
@@ -205,8 +226,8 @@
     let listed = vec![entry(1, "z1"), entry(2, "z1"), entry(3, "z2"), entry(4, "z3")];
     let roster = EntryRoster::merged([&listed].into_iter(), Instant::now());
     assert_eq!(roster.addresses(Some("z1"), 64), [address(1), address(2)]);
-    assert_eq!(roster.addresses_elsewhere(Some("z1"), 64), [address(3), address(4)]);
-    assert_eq!(roster.addresses_elsewhere(Some("z1"), 1), [address(3)]);
+    assert_eq!(roster.addresses_outside_zone(Some("z1"), 64), [address(3), address(4)]);
+    assert_eq!(roster.addresses_outside_zone(Some("z1"), 1), [address(3)]);
 }
 
 /// What users would see: all entries of a zone send to targets that are full. The entry that passes
@@ -226,7 +247,7 @@
     let roster = EntryRoster::merged([&listed].into_iter(), Instant::now());
     let mut turns = [0_u32; 13];
     for round in 0..20 {
-        let chosen: Vec<&EntryRecord> = roster.one_of_each_zone(round).collect();
+        let chosen: Vec<&EntryRecord> = roster.one_per_zone(round).collect();
         assert_eq!(chosen.len(), 2, "one of each zone");
         assert_ne!(chosen[0].zone, chosen[1].zone);
         for record in chosen {
@@ -246,12 +267,12 @@
 async fn entries_that_start_together_are_passed_on_together() {
     let start = Instant::now();
     let tick = Duration::from_millis(50);
-    let mut pace = RosterPace::default();
+    let mut pace = RosterBatcher::default();
     let (mut sent, mut last_sent) = (0, start);
     for millis in 0..600 {
         let now = start + Duration::from_millis(millis);
         if millis < 300 && millis % 2 == 0 {
-            pace.note_changed(now);
+            pace.record_change(now);
         }
         let is_tick = Duration::from_millis(millis % 50).is_zero();
         if is_tick && pace.take_due(now) {
@@ -296,11 +317,11 @@
     let mut table = table(&[1, 2, 3], now);
     for host in [1, 2, 3] {
         for _ in 0..6 {
-            table.begin(&id(host), now);
-            table.end(&id(host), AttemptOutcome::Failed, now);
+            table.start_attempt(&id(host), now);
+            table.finish_attempt(&id(host), AttemptOutcome::Failed, now);
         }
     }
-    assert!(matches!(choose(&table, &[], now), Choice::Target(_)));
+    assert!(matches!(choose(&table, &[], now), PlacementOutcome::Target(_)));
 }
 
 /// What users would see: dozens of late answers for each engine that freezes. It takes requests and
@@ -313,11 +334,11 @@
     let mut table = table(&[1, 2, 3, 4], start);
     let usual = Duration::from_millis(120);
     for host in 1..=4 {
-        table.note_first_byte(&id(host), start - usual, start);
+        table.record_first_byte(&id(host), start - usual, start);
     }
-    table.note_sent(&id(1), start);
+    table.record_sent(&id(1), start);
     let hits = |table: &TargetTable, now| {
-        (0..400).filter(|_| choose(table, &[], now) == Choice::Target(id(1))).count()
+        (0..400).filter(|_| choose(table, &[], now) == PlacementOutcome::Target(id(1))).count()
     };
     let early = hits(&table, start + usual);
     assert!((50..150).contains(&early), "nothing to be said yet: {early} of 400");
@@ -337,10 +358,11 @@
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for (host, millis) in [(1, 120), (2, 150), (3, 1_500)] {
-        table.note_first_byte(&id(host), now - Duration::from_millis(millis), now);
+        table.record_first_byte(&id(host), now - Duration::from_millis(millis), now);
     }
-    let drawn =
-        |now| (0..600).filter(|_| choose(&table, &[], now) == Choice::Target(id(3))).count();
+    let drawn = |now| {
+        (0..600).filter(|_| choose(&table, &[], now) == PlacementOutcome::Target(id(3))).count()
+    };
     assert!(drawn(now) < 40, "{} of 600", drawn(now));
     assert!(drawn(now + Duration::from_secs(4)) > 120);
 }
@@ -358,14 +380,16 @@
     // Two targets look empty, the others three quarters full.
     for entry in &mut entries {
         for host in &hosts {
-            entry.note_load(&id(*host), if *host <= 2 { 0 } else { 3 }, now);
+            entry.record_load(&id(*host), if *host <= 2 { 0 } else { 3 }, now);
         }
     }
     let mut arrivals = vec![0_u32; usize::from(TARGETS) + 1];
     for round in 0..24 {
         let entry = &mut entries[round % ENTRIES];
-        let Choice::Target(target) = choose(entry, &[], now) else { panic!("there is room") };
-        entry.begin(&target, now);
+        let PlacementOutcome::Target(target) = choose(entry, &[], now) else {
+            panic!("there is room")
+        };
+        entry.start_attempt(&target, now);
         let host: usize = target.name.trim_start_matches("i-").parse().expect("a number");
         arrivals[host] += 1;
     }
@@ -383,20 +407,22 @@
     let mut table = table(&[1, 2], now);
     let (service, model, tried) = (service(), model(), [id(1)]);
     let leaves = now + Duration::from_millis(500);
-    let further = PlacementNeed { begin_by: Some(leaves), ..need(&service, &model, &tried) };
-    assert_eq!(table.choose(&further, now), Choice::Target(id(2)));
+    let further =
+        PlacementQuery { first_byte_deadline: Some(leaves), ..need(&service, &model, &tried) };
+    assert_eq!(table.choose(&further, now), PlacementOutcome::Target(id(2)));
 
-    table.note_engine(&link_news(2, 500), now);
-    assert_eq!(table.choose(&further, now), Choice::Full);
-    assert_eq!(choose(&table, &tried, now), Choice::Target(id(2)), "its caller stays");
-    table.note_engine(&link_news(2, 0), now);
+    table.apply_engine(&link_news(2, 500), now);
+    assert_eq!(table.choose(&further, now), PlacementOutcome::Full);
+    assert_eq!(choose(&table, &tried, now), PlacementOutcome::Target(id(2)), "its caller stays");
+    table.apply_engine(&link_news(2, 0), now);
 
-    table.note_first_byte(&id(2), now - Duration::from_millis(700), now);
+    table.record_first_byte(&id(2), now - Duration::from_millis(700), now);
     assert_eq!(
         table.choose(&further, now),
-        Choice::Full,
+        PlacementOutcome::Full,
         "its answers begin after the caller left"
     );
-    let patient = PlacementNeed { begin_by: Some(now + Duration::from_secs(1)), ..further };
-    assert_eq!(table.choose(&patient, now), Choice::Target(id(2)));
+    let patient =
+        PlacementQuery { first_byte_deadline: Some(now + Duration::from_secs(1)), ..further };
+    assert_eq!(table.choose(&patient, now), PlacementOutcome::Target(id(2)));
 }
