--- a/crates/stager/src/contents.rs
+++ b/crates/stager/src/contents.rs
@@ -33,7 +33,10 @@
             );
         }
         Err(error) => {
-            tracing::info!(version = key.version, %error, "failed to send the content digest of a version to control");
+            tracing::info!(
+                version = key.version, %error,
+                "failed to send the content digest of a version to control"
+            );
         }
     }
 }
--- a/crates/stager/src/engine.rs
+++ b/crates/stager/src/engine.rs
@@ -20,7 +20,10 @@
             let now_reachable = poll(&shared).await;
             if now_reachable != reachable {
                 reachable = now_reachable;
-                tracing::info!(reachable, target = %shared.options.target, "engine became reachable or unreachable");
+                tracing::info!(
+                    reachable, target = %shared.options.target,
+                    "engine reachability changed"
+                );
             }
             if shared.polls_fast.get() { FAST_POLL_INTERVAL } else { POLL_INTERVAL }
         };
@@ -76,8 +79,8 @@
     );
 }
 
-/// Counts and logs when the engine holds an older version than before in the same incarnation. No agent
-/// orders that, so it means that the engine executed an order late.
+/// Counts and logs when the engine holds an older version than before in the same incarnation. No
+/// agent orders that, so it means that the engine executed an order late.
 fn detect_rollback(shared: &StagerShared, report: &EngineReport) {
     let Some(now) = report.models.first() else { return };
     let before = shared.last_loaded.replace(Some((report.incarnation, now.clone())));
--- a/crates/stager/src/fencing.rs
+++ b/crates/stager/src/fencing.rs
@@ -1,7 +1,8 @@
 //! Raising the engine's fence, so that it rejects orders of the previous agent process.
 //!
-//! An order for the version that the engine already holds begins nothing and needs no staged chunks,
-//! but the engine records its fencing token. An engine that holds nothing cannot be fenced this way.
+//! An order for the version that the engine already holds begins nothing and needs no staged
+//! chunks, but the engine records its fencing token. An engine that holds nothing cannot be fenced
+//! this way.
 
 use crate::{
     dialect::{EngineReport, LoadOrder, OrderOutcome},
@@ -30,8 +31,8 @@
 }
 
 /// Has the engine reject the orders of previous agent processes. Returns whether it certainly does:
-/// not if it holds nothing, nor if it has accepted no agent's token or does not compare tokens, since
-/// earlier orders may then carry none.
+/// not if it holds nothing, nor if it has accepted no agent's token or does not compare tokens,
+/// since earlier orders may then carry none.
 pub(crate) async fn fence_off_previous_orders(shared: &StagerShared, model: &ModelName) -> bool {
     for _ in 0..MAX_FENCE_ATTEMPTS {
         let probe = shared.fence.borrow_mut().next_probe_token();
@@ -44,13 +45,13 @@
     false
 }
 
-/// Raises the engine's fence to this agent's tokens, once for each incarnation of the engine. Returns
-/// whether it is raised.
+/// Raises the engine's fence to this agent's tokens, once for each incarnation of the engine.
+/// Returns whether it is raised.
 ///
-/// Failure guarded: an agent restarts with a clock that was set back, so that its tokens are lower than
-/// that of an outstanding order of the previous process, which the engine has not seen yet. Since each
-/// agent raises the fence before it sends any other order, the later process has its token rejected
-/// and goes beyond the earlier one's.
+/// Failure guarded: an agent restarts with a clock that was set back, so that its tokens are lower
+/// than that of an outstanding order of the previous process, which the engine has not seen yet.
+/// Since each agent raises the fence before it sends any other order, the later process has its
+/// token rejected and goes beyond the earlier one's.
 pub(crate) async fn raise(shared: &StagerShared, model: &ModelName) -> bool {
     for _ in 0..MAX_FENCE_ATTEMPTS {
         if !shared.fence.borrow().is_raise_due(Instant::now()) {
@@ -86,9 +87,9 @@
 /// Orders the engine to load the version that it already holds.
 ///
 /// Failure guarded: the engine restarts between its report and the order, holds nothing, and loads
-/// whatever is staged as the version named in the order. Callers then get answers from mixed weights.
-/// Report and order use one connection, which ends with the engine's incarnation, and the expected
-/// count of orders rules out an order of another agent that it has begun in between.
+/// whatever is staged as the version named in the order. Callers then get answers from mixed
+/// weights. Report and order use one connection, which ends with the engine's incarnation, and the
+/// expected count of orders rules out an order of another agent that it has begun in between.
 async fn order_held_version(
     shared: &StagerShared,
     model: &ModelName,
@@ -128,7 +129,10 @@
             FenceOutcome::Inconclusive
         }
         Err(error) => {
-            tracing::info!(%error, fence = fencing_token, "no answer to the order that raises the engine's fence");
+            tracing::info!(
+                %error, fence = fencing_token,
+                "no answer to the order that raises the engine's fence"
+            );
             FenceOutcome::Inconclusive
         }
     }
--- a/crates/stager/src/follow.rs
+++ b/crates/stager/src/follow.rs
@@ -1,4 +1,5 @@
-//! Telling control about the engine, and learning what to bring to it.
+//! Reports the engine's status to control and receives the plan: which weights the engine is to
+//! load.
 
 use crate::{
     shared::{ReceivedPlan, StagerShared},
@@ -10,24 +11,24 @@
 use std::{net::SocketAddr, rc::Weak, time::Duration};
 use tokio::time::Instant;
 
-/// How long a call may wait for news of the plan.
-const CALL_WAIT: Duration = Duration::from_millis(2_000);
-/// Time beyond the wait after which a call has failed.
-const CALL_SLACK: Duration = Duration::from_millis(800);
-/// How long a connection to a control member may take: a dozen round trips between regions. After a
-/// loss of power agents start before control does; the sooner one finds it, the sooner its engine
+/// How long a control member may hold a call until the plan changes.
+const LONG_POLL_WAIT: Duration = Duration::from_millis(2_000);
+/// Time beyond that wait after which a call has failed.
+const CALL_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
+/// Timeout for connecting to a control member: a dozen round trips between regions. After a power
+/// loss agents start before control does; the sooner an agent finds a member, the sooner its engine
 /// has its weights again.
-const CONNECT_LIMIT: Duration = Duration::from_millis(150);
-/// Pause after a failed call, before another member is asked.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(50);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Pause after a failed call before the next member is called.
+const FAILOVER_DELAY: Duration = Duration::from_millis(50);
 
-/// Follows one control member at a time, another one after a failure.
+/// Follows one control member at a time, and fails over to the next one when a call fails.
 pub(crate) async fn follow(shared: Weak<StagerShared>) {
     let mut members = match shared.upgrade() {
         Some(shared) => shared.options.feed_seeds.borrow().clone(),
         None => return,
     };
-    let mut at: usize = rand::random::<u16>().into();
+    let mut member_index: usize = rand::random::<u16>().into();
     let mut link: Option<FeedLink> = None;
     // Whether the member at the other end of the link has answered.
     let mut has_answered = false;
@@ -37,8 +38,8 @@
         if members.is_empty() {
             members = held.options.feed_seeds.borrow().clone();
         }
-        let Some(address) = members.get(at % members.len().max(1)).cloned() else {
-            tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
+        let Some(address) = members.get(member_index % members.len().max(1)).cloned() else {
+            tokio::time::sleep(FAILOVER_DELAY).await;
             continue;
         };
         if link.as_ref().is_none_or(|link| link.address() != address) {
@@ -59,7 +60,7 @@
         };
         let reply = tokio::select! {
             reply = current.agent(call) => Some(reply),
-            // News of the engine are told at once.
+            // The call is abandoned and repeated at once with the engine's new status.
             _ = report.changed() => None,
             () = held.report_due.notified() => None,
         };
@@ -71,42 +72,47 @@
                 if !reply.members.is_empty() {
                     members.clone_from(&reply.members);
                 }
-                position.take(&held, reply);
+                position.apply(&held, reply);
             }
             Some(Err(error)) => {
-                tracing::info!(member = %address, %error, "a control member does not answer");
-                at = at.wrapping_add(1);
+                tracing::info!(
+                    member = %address, %error,
+                    "call to control member failed; trying the next member"
+                );
+                member_index = member_index.wrapping_add(1);
                 let seeds = held.options.feed_seeds.borrow().clone();
                 members.extend(
                     seeds.into_iter().filter(|seed| !members.contains(seed)).collect::<Vec<_>>(),
                 );
                 drop(held);
-                tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
+                tokio::time::sleep(FAILOVER_DELAY).await;
             }
         }
     }
 }
 
-/// How long a member may keep a call waiting.
+/// How long a member may hold a call.
 ///
-/// Failure guarded: a control member is frozen, and its machine still accepts connections. An agent that
-/// starts then and asks it first would not know for 2.8 s whether it has no news or hangs. In a play with
-/// 76 added instances a quarter of them had their weights 3.5 s after the others. Until a member has
-/// answered once it is asked for an answer at once, and passed over after [`CALL_SLACK`].
+/// Failure guarded: a control member is frozen while its machine still accepts connections. An
+/// agent that starts then and calls it first could not tell for 2.8 s whether the plan is unchanged
+/// or the member hangs. In a run with 76 added instances a quarter of them had their weights 3.5 s
+/// after the others. Until a member has answered once, it is asked to answer immediately, and
+/// skipped after [`CALL_TIMEOUT_MARGIN`].
 fn call_wait(has_answered: bool) -> Duration {
-    if has_answered { CALL_WAIT } else { Duration::ZERO }
+    if has_answered { LONG_POLL_WAIT } else { Duration::ZERO }
 }
 
 fn feed_link(shared: &StagerShared, address: &str) -> FeedLink {
     let options = LinkOptions {
-        connect_timeout: CONNECT_LIMIT,
-        call_timeout: CALL_SLACK,
+        connect_timeout: CONNECT_TIMEOUT,
+        call_timeout: CALL_TIMEOUT_MARGIN,
         ..LinkOptions::default()
     };
     FeedLink::new(address, shared.options.secret, options)
 }
 
-/// How far a member's plans have been read, and the peers that came of it.
+/// Which changes of plan and peers have been received from a control member, and the resulting
+/// peers.
 #[derive(Default)]
 struct PlanPosition {
     run: u64,
@@ -116,7 +122,7 @@
 }
 
 impl PlanPosition {
-    fn take(&mut self, shared: &StagerShared, reply: AgentReply) {
+    fn apply(&mut self, shared: &StagerShared, reply: AgentReply) {
         (self.run, self.seen, self.peers_seen) = (reply.run, reply.seen, reply.peers_seen);
         let has_peers = !reply.peers.is_empty();
         apply_peer_updates(&mut self.peers, reply.peers);
@@ -128,7 +134,7 @@
             self.peers.iter().map(peer).collect()
         };
         if let Some(plan) = reply.plan {
-            take_plan(shared, plan, peers());
+            apply_plan(shared, plan, peers());
         } else if has_peers {
             shared.plan.send_if_modified(|held| {
                 let Some(held) = held else { return false };
@@ -140,27 +146,28 @@
     }
 }
 
-fn take_plan(shared: &StagerShared, plan: WeightsPlan, peers: Vec<SwarmPeer>) {
-    let age = plan.version.as_ref().map_or(0, |named| named.age_millis);
+fn apply_plan(shared: &StagerShared, plan: WeightsPlan, peers: Vec<SwarmPeer>) {
+    let age = plan.version.as_ref().map_or(0, |published| published.age_millis);
     let now = Instant::now();
-    let told_at = now.checked_sub(Duration::from_millis(age)).unwrap_or(now);
+    let published_at_by_age = now.checked_sub(Duration::from_millis(age)).unwrap_or(now);
     shared.plan.send_modify(|held| {
-        let version = plan.version.as_ref().map(|named| named.version);
-        let same = held
-            .as_ref()
-            .filter(|held| held.plan.version.as_ref().map(|named| named.version) == version);
-        let older = held.as_ref().is_some_and(|held| {
+        let version = plan.version.as_ref().map(|published| published.version);
+        let same_version = held.as_ref().filter(|held| {
+            held.plan.version.as_ref().map(|published| published.version) == version
+        });
+        let is_older = held.as_ref().is_some_and(|held| {
             held.plan.model == plan.model && held.version() > version.unwrap_or(1)
         });
-        if older {
-            // A member that is behind; the newest version that was ever named is wanted.
+        if is_older {
+            // The member lags behind; the newest version that was ever published is wanted.
             return;
         }
-        let published_at = same.map_or(told_at, |held| held.published_at.min(told_at));
+        let published_at = same_version
+            .map_or(published_at_by_age, |held| held.published_at.min(published_at_by_age));
         tracing::info!(?version, peers = peers.len(), "plan changed");
-        let unmet = held.as_ref().filter(|held| !switch::holds(shared, &held.key()));
+        let not_loaded = held.as_ref().filter(|held| !switch::holds(shared, &held.key()));
         let staleness_start =
-            unmet.map_or(published_at, |held| held.staleness_start.min(published_at));
+            not_loaded.map_or(published_at, |held| held.staleness_start.min(published_at));
         *held = Some(ReceivedPlan { plan, peers, published_at, staleness_start });
     });
 }
--- a/crates/stager/src/loads.rs
+++ b/crates/stager/src/loads.rs
@@ -7,8 +7,8 @@
 
 /// Interval at which the last report is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time between datagrams while the load stays the same: as a sample ages, entries weigh the
-/// service's mean more.
+/// Longest time between datagrams while the load stays the same: as a sample ages, entries weigh
+/// the service's mean more.
 const RESEND_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Sends a datagram whenever the load has changed, and at least every [`RESEND_INTERVAL`].
@@ -16,7 +16,10 @@
     let socket = match UdpSocket::bind(("0.0.0.0", 0)).await {
         Ok(socket) => socket,
         Err(error) => {
-            tracing::error!(%error, "failed to bind a UDP socket for load datagrams; entries will estimate the load");
+            tracing::error!(
+                %error,
+                "failed to bind a UDP socket for load datagrams; entries will estimate the load"
+            );
             return;
         }
     };
--- a/crates/stager/src/older.rs
+++ b/crates/stager/src/older.rs
@@ -1,9 +1,11 @@
-//! Finishing the version before the newest one, where it can be had and the newest cannot.
+//! Completes and loads a superseded version when its chunks can be had and the newest version's
+//! cannot.
 //!
-//! Answers the load pattern of versions that are named in quick succession while the origin goes
-//! away: the chunks of the first are spread over the agents already, those of the second cannot be
-//! had, and once the first's bound is over nobody may serve. What is held of the first is kept and
-//! completed from other agents; [`OlderVersionPolicy`] says when it is worth a switch.
+//! This covers versions that are published in quick succession while the origin becomes
+//! unreachable: the chunks of the first are already spread over the agents, those of the second
+//! cannot be fetched, and once the first's staleness bound has passed no engine may serve. The
+//! agent keeps its chunks of the first and fetches the missing ones from other agents;
+//! [`OlderVersionPolicy`] decides when loading it is worth a switch.
 
 use crate::{
     chunks::VersionChunks,
@@ -20,22 +22,22 @@
 };
 use tokio::time::Instant;
 
-/// Time after the naming of a version within which its first chunks come, if they come at all.
-const FIRST_CHUNKS: Duration = Duration::from_millis(1_000);
-/// How often it is looked whether the older version is to be taken.
-const LOOK_INTERVAL: Duration = Duration::from_millis(60);
+/// Time after a version is published within which its first chunks arrive, if they arrive at all.
+const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How often the agent checks whether the engine is to load the superseded version.
+const CHECK_INTERVAL: Duration = Duration::from_millis(60);
 
-/// The version before the newest one that was named.
+/// The version published before the newest one.
 #[derive(Clone, Debug)]
 pub(crate) struct OlderVersion {
     pub(crate) key: WeightsKey,
     pub(crate) published_at: Instant,
 }
 
-/// Keeps a version that is overtaken by a newer one, and fetches what is missing of it from other
-/// agents. The origin is left to the newer one.
-pub(crate) fn keep(shared: &Rc<StagerShared>, overtaken: &ReceivedPlan) {
-    let key = overtaken.key();
+/// Keeps a superseded version, and fetches its missing chunks from other agents. The origin is left
+/// to the newest version.
+pub(crate) fn keep_superseded(shared: &Rc<StagerShared>, superseded: &ReceivedPlan) {
+    let key = superseded.key();
     if !shared.options.finishes_older || switch::holds(shared, &key) {
         return;
     }
@@ -45,94 +47,108 @@
         let Some(weights) = chunks.get(&key) else { return };
         weights.digests.count() - weights.chunk_set().count()
     };
-    tracing::info!(version = key.version, missing, "an overtaken version is kept");
+    tracing::info!(version = key.version, missing, "keeping a superseded version");
     *shared.older.borrow_mut() =
-        Some(OlderVersion { key: key.clone(), published_at: overtaken.published_at });
+        Some(OlderVersion { key: key.clone(), published_at: superseded.published_at });
     if missing > 0 {
-        actix_rt::spawn(complete(shared.clone(), overtaken.clone(), key));
+        actix_rt::spawn(complete_from_peers(shared.clone(), superseded.clone(), key));
     }
 }
 
-async fn complete(shared: Rc<StagerShared>, overtaken: ReceivedPlan, key: WeightsKey) {
+async fn complete_from_peers(shared: Rc<StagerShared>, superseded: ReceivedPlan, key: WeightsKey) {
     let transfer = {
         let chunks = shared.chunks.borrow();
         let Some(weights) = chunks.get(&key) else { return };
-        Transfer::without_origin(&shared, &overtaken.plan, weights)
+        Transfer::without_origin(&shared, &superseded.plan, weights)
     };
-    transfer.set_peers(&overtaken.peers);
-    // The links are the newest version's for as long as its chunks keep coming.
-    while is_newest_coming(&shared) {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+    transfer.set_peers(&superseded.peers);
+    // The newest version has priority on the links for as long as its chunks keep arriving.
+    while is_newest_arriving(&shared) {
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    let kept = async {
+    let no_longer_kept = async {
         while shared.older.borrow().as_ref().is_some_and(|older| older.key == key) {
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     };
-    let whole = tokio::select! {
-        whole = transfer.run() => whole,
-        () = kept => false,
+    let is_complete = tokio::select! {
+        is_complete = transfer.run() => is_complete,
+        () = no_longer_kept => false,
     };
-    tracing::info!(version = key.version, whole, "an overtaken version was fetched from others");
+    tracing::info!(
+        version = key.version,
+        whole = is_complete,
+        "ended the fetch of a superseded version from other agents"
+    );
 }
 
-/// Whether the engine lacks the newest version and none of its chunks comes any more.
+/// Whether the engine lacks the newest version and none of its chunks are arriving.
 fn is_stalled(shared: &StagerShared) -> bool {
     let Some(plan) = shared.plan.borrow().clone() else { return false };
-    !switch::holds(shared, &plan.key()) && !is_newest_coming(shared)
+    !switch::holds(shared, &plan.key()) && !is_newest_arriving(shared)
 }
 
-/// Whether chunks of the newest version arrive, or it was named a moment ago.
-fn is_newest_coming(shared: &StagerShared) -> bool {
+/// Whether chunks of the newest version are arriving, or it was published within
+/// [`FIRST_CHUNK_TIMEOUT`].
+fn is_newest_arriving(shared: &StagerShared) -> bool {
     let Some(plan) = shared.plan.borrow().clone() else { return false };
     let chunks = shared.chunks.borrow();
     let expected =
         chunks.get(&plan.key()).and_then(|weights| weights.time_to_complete(Instant::now()));
-    expected.is_some() || plan.published_at.elapsed() < FIRST_CHUNKS
+    expected.is_some() || plan.published_at.elapsed() < FIRST_CHUNK_TIMEOUT
 }
 
-/// Has the engine take the older version when that is worth it, for as long as the agent lives.
+/// Has the engine load the superseded version when that is worth a switch, for as long as the agent
+/// lives.
 pub(crate) async fn watch(shared: Weak<StagerShared>) {
     loop {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         shared.set_stalled(is_stalled(&shared));
         let Some(older) = shared.older.borrow().clone() else { continue };
         let Some(plan) = shared.plan.borrow().clone() else { continue };
-        if is_done(&shared, &older, &plan) {
+        if is_obsolete(&shared, &older, &plan) {
             *shared.older.borrow_mut() = None;
             shared.chunks.borrow_mut().drop_superseded();
             continue;
         }
-        let whole = shared
+        let is_complete = shared
             .chunks
             .borrow()
             .get(&older.key)
             .is_some_and(|weights| weights.chunk_set().is_full());
-        let rule = OlderVersionPolicy::new(shared.options.switch_timing);
-        if whole && rule.should_switch(&view(&shared, &older, &plan)) {
-            tracing::info!(version = older.key.version, "the older version is taken meanwhile");
+        let policy = OlderVersionPolicy::new(shared.options.switch_timing);
+        if is_complete && policy.should_switch(&policy_state(&shared, &older, &plan)) {
+            tracing::info!(
+                version = older.key.version,
+                "switching to the superseded version until the newest is complete"
+            );
             let timing = shared.options.switch_timing;
             let drain_until =
                 older.published_at + timing.staleness_bound.saturating_sub(timing.reserve / 2);
-            if switch::take(&shared, &older.key, plan.plan.may_cut, drain_until).await {
+            if switch::load(&shared, &older.key, plan.plan.may_cut, drain_until).await {
                 *shared.superseded_loaded.borrow_mut() = Some(older);
             }
         }
     }
 }
 
-/// Whether nothing is to be done with the older version any more.
-fn is_done(shared: &StagerShared, older: &OlderVersion, plan: &ReceivedPlan) -> bool {
-    let newest_is_here = shared
+/// Whether the superseded version is of no more use: the newest is complete, the plan names another
+/// model, or the engine holds the version.
+fn is_obsolete(shared: &StagerShared, older: &OlderVersion, plan: &ReceivedPlan) -> bool {
+    let is_newest_complete = shared
         .chunks
         .borrow()
         .get(&plan.key())
         .is_some_and(|weights| weights.chunk_set().is_full());
-    newest_is_here || plan.plan.model != older.key.model || switch::holds(shared, &older.key)
+    is_newest_complete || plan.plan.model != older.key.model || switch::holds(shared, &older.key)
 }
 
-fn view(shared: &StagerShared, older: &OlderVersion, plan: &ReceivedPlan) -> OlderVersionState {
+fn policy_state(
+    shared: &StagerShared,
+    older: &OlderVersion,
+    plan: &ReceivedPlan,
+) -> OlderVersionState {
     let now = Instant::now();
     let (rank, count) = ranks::rank_and_count(shared, plan);
     let chunks = shared.chunks.borrow();
--- a/crates/stager/src/order_fence.rs
+++ b/crates/stager/src/order_fence.rs
@@ -1,20 +1,21 @@
 //! Fencing tokens: numbers by which an engine rejects orders older than one that it has accepted.
 //!
 //! An agent may be killed and restarted while its engine goes on. The engine may then still execute
-//! an order of the previous agent process, on whatever is staged by that time. It rejects orders whose
-//! token is lower than one that it has accepted, so each agent process uses higher tokens than the
-//! one before it.
+//! an order of the previous agent process, on whatever is staged by that time. It rejects orders
+//! whose token is lower than one that it has accepted, so each agent process uses higher tokens
+//! than the one before it.
 
 use crate::dialect::EngineReport;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Increment after a token is rejected, in microseconds: more than clocks are set back by, and large
-/// enough that a raised token is unlikely to fall among those of the previous process's last orders.
+/// Increment after a token is rejected, in microseconds: more than clocks are set back by, and
+/// large enough that a raised token is unlikely to fall among those of the previous process's last
+/// orders.
 const TOKEN_RAISE_MICROS: u64 = 1 << 32;
 
-/// Pause after the fence could not be raised. An engine that does not accept an order for the version
-/// that it holds would otherwise be sent several a second without end.
+/// Pause after the fence could not be raised. An engine that does not accept an order for the
+/// version that it holds would otherwise be sent several a second without end.
 const RAISE_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// What an agent knows about its engine's fence (the highest fencing token that the engine has
@@ -44,8 +45,8 @@
         }
     }
 
-    /// A token below all those of agents' orders, a new one each time. An engine that rejects it has
-    /// accepted an order of an agent, and does compare tokens.
+    /// A token below all those of agents' orders, a new one each time. An engine that rejects it
+    /// has accepted an order of an agent, and does compare tokens.
     pub fn next_probe_token(&mut self) -> u64 {
         self.last_probe_token = self.last_probe_token.saturating_add(1);
         self.last_probe_token
@@ -64,8 +65,8 @@
 
     /// Records that the engine has accepted an order with a higher token.
     ///
-    /// Failure guarded: the instance's clock is set back between two processes of the agent, and the
-    /// engine rejects all orders of the second. The engine then never gets new weights.
+    /// Failure guarded: the instance's clock is set back between two processes of the agent, and
+    /// the engine rejects all orders of the second. The engine then never gets new weights.
     pub fn record_fencing_rejection(&mut self) {
         self.is_raised = false;
         self.last_token = self.last_token.saturating_add(TOKEN_RAISE_MICROS);
--- a/crates/stager/src/order_tracker.rs
+++ b/crates/stager/src/order_tracker.rs
@@ -2,9 +2,9 @@
 //!
 //! When the answer to an order is lost, the engine may begin the order seconds after the agent's
 //! timeout, and loads whatever is staged by then. Every copy of an order states how many orders the
-//! engine had begun before it, so the engine begins at most one copy, and none after any other order.
-//! Until the agent sees that the engine has begun either, the order is outstanding, and its chunks
-//! must stay staged.
+//! engine had begun before it, so the engine begins at most one copy, and none after any other
+//! order. Until the agent sees that the engine has begun either, the order is outstanding, and its
+//! chunks must stay staged.
 
 use crate::{dialect::OrderOutcome, digests::WeightDigests};
 use bytes::Bytes;
@@ -38,9 +38,9 @@
 }
 
 impl OrderTracker {
-    /// Records an order, or another copy of the outstanding one, before it is sent to an engine that
-    /// has begun `orders_begun` orders. Returns the count that the copy must state. An outstanding
-    /// order for other weights must have been settled first.
+    /// Records an order, or another copy of the outstanding one, before it is sent to an engine
+    /// that has begun `orders_begun` orders. Returns the count that the copy must state. An
+    /// outstanding order for other weights must have been settled first.
     pub fn record_sent(&mut self, weights: &Rc<CompleteWeights>, orders_begun: u64) -> u64 {
         let same = self.outstanding.take().filter(|order| order.weights.key == weights.key);
         let (expected_orders_begun, unresolved_copies) = same.map_or((orders_begun, 0), |order| {
--- a/crates/stager/src/reconcile.rs
+++ b/crates/stager/src/reconcile.rs
@@ -1,4 +1,5 @@
-//! Bringing the plan about: digests, chunks, the engine's turn.
+//! Carries the plan out: finds the digests, fetches the chunks, and switches the engine when it is
+//! this instance's turn.
 
 use crate::{
     chunks::VersionChunks,
@@ -15,26 +16,26 @@
 };
 use tokio::time::Instant;
 
-/// How often an engine that has what it should is looked at again; changes wake earlier.
-const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How often the plan is compared with the engine's state if neither changes.
+const RECONCILE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Brings about whatever the plan says, for ever.
+/// Carries out the newest plan, for as long as the agent lives.
 pub(crate) async fn run(shared: Weak<StagerShared>) {
     let Some(held) = shared.upgrade() else { return };
     let mut plan = held.plan.subscribe();
     let mut report = held.report.subscribe();
     drop(held);
-    let mut before: Option<ReceivedPlan> = None;
+    let mut previous: Option<ReceivedPlan> = None;
     loop {
         let Some(shared) = shared.upgrade() else { return };
         let wanted = plan.borrow_and_update().clone();
         report.mark_unchanged();
-        if let (Some(before), Some(wanted)) = (&before, &wanted)
-            && before.key() != wanted.key()
+        if let (Some(previous), Some(wanted)) = (&previous, &wanted)
+            && previous.key() != wanted.key()
         {
-            older::keep(&shared, before);
+            older::keep_superseded(&shared, previous);
         }
-        before = wanted.clone();
+        previous = wanted.clone();
         let Some(wanted) = wanted else {
             drop(shared);
             if plan.changed().await.is_err() {
@@ -47,47 +48,47 @@
             now.as_ref()
                 .is_some_and(|now| now.version() != key.version || now.plan.model != key.model)
         });
-        // A newer version ends whatever is under way for an older one.
+        // A newer version interrupts the work on an older one.
         tokio::select! {
-            () = bring(&shared, &wanted, &key) => {}
+            () = reconcile(&shared, &wanted, &key) => {}
             _ = newer => continue,
         }
         drop(shared);
         tokio::select! {
             _ = plan.changed() => {}
             _ = report.changed() => {}
-            () = tokio::time::sleep(CHECK_INTERVAL) => {}
+            () = tokio::time::sleep(RECONCILE_INTERVAL) => {}
         }
     }
 }
 
-/// Takes the next steps towards `key`; returns when nothing is left to do for now.
-async fn bring(shared: &Rc<StagerShared>, wanted: &ReceivedPlan, key: &WeightsKey) {
+/// Does what is missing for the engine to hold `key`; returns when nothing is left to do for now.
+async fn reconcile(shared: &Rc<StagerShared>, wanted: &ReceivedPlan, key: &WeightsKey) {
     let known = shared.chunks.borrow().get(key).is_some();
     if !known {
-        begin(shared, key).await;
+        start_version(shared, key).await;
     }
-    let whole =
+    let is_complete =
         shared.chunks.borrow().get(key).is_some_and(|weights| weights.chunk_set().is_full());
-    if !whole {
+    if !is_complete {
         fetch(shared, wanted, key).await;
     }
     if shared.report.borrow().is_none() {
         return;
     }
     if switch::holds(shared, key) {
-        switch::resolve_former_orders(shared, key).await;
+        switch::resolve_previous_orders(shared, key).await;
         return;
     }
     await_turn(shared, wanted).await;
     let timing = shared.options.switch_timing;
     let drain_until =
-        due_from(shared, wanted) + timing.staleness_bound.saturating_sub(timing.reserve / 2);
-    switch::take(shared, key, wanted.plan.may_cut, drain_until).await;
+        staleness_start(shared, wanted) + timing.staleness_bound.saturating_sub(timing.reserve / 2);
+    switch::load(shared, key, wanted.plan.may_cut, drain_until).await;
 }
 
-/// Learns the digests of a version, and what of it the engine has staged already.
-async fn begin(shared: &Rc<StagerShared>, key: &WeightsKey) {
+/// Finds the digests of a version and reads back the chunks of it that are already staged.
+async fn start_version(shared: &Rc<StagerShared>, key: &WeightsKey) {
     let digests = digest_search::find(shared, key).await;
     tracing::info!(version = key.version, chunks = digests.count(), "fetching a version");
     let mut weights = VersionChunks::new(key.clone(), Rc::new(digests));
@@ -95,7 +96,7 @@
         let staged = staging::read_back(shared, key, index).await;
         match staged.filter(|bytes| weights.digests.matches(index, bytes)) {
             Some(bytes) => weights.insert_staged(index, bytes),
-            // What is staged is whole or of another version; the first chunk tells.
+            // The staged chunks are a complete version, this or another one; the first shows which.
             None if index == 0 => break,
             None => {}
         }
@@ -107,7 +108,7 @@
     shared.digests_added.send_modify(|count| *count += 1);
 }
 
-/// Fetches all chunks, following changes of the swarm meanwhile.
+/// Fetches all chunks, and applies changes of the peers meanwhile.
 async fn fetch(shared: &Rc<StagerShared>, wanted: &ReceivedPlan, key: &WeightsKey) {
     let transfer = {
         let chunks = shared.chunks.borrow();
@@ -115,17 +116,17 @@
         Transfer::new(shared, &wanted.plan, weights)
     };
     let mut plan = shared.plan.subscribe();
-    // Peers may have come while the digests were looked for.
+    // Peers may have changed while the digests were searched.
     let current = plan.borrow_and_update().as_ref().map(|now| now.peers.clone());
     transfer.set_peers(&current.unwrap_or_else(|| wanted.peers.clone()));
-    let began = Instant::now();
+    let started_at = Instant::now();
     let run = transfer.run();
     tokio::pin!(run);
     loop {
         tokio::select! {
-            sound = &mut run => {
-                if !sound {
-                    return distrust(shared, key);
+            are_digests_valid = &mut run => {
+                if !are_digests_valid {
+                    return discard_digests(shared, key);
                 }
                 break;
             }
@@ -140,56 +141,59 @@
     }
     tracing::info!(
         version = key.version,
-        millis = began.elapsed().as_millis() as u64,
+        millis = started_at.elapsed().as_millis() as u64,
         from_origin = transfer.origin_chunks(),
         origin_millis = transfer.last_origin_chunk_after().as_millis() as u64,
         across_zones = transfer.cross_zone_chunks(),
-        "all chunks are here"
+        "all chunks present"
     );
 }
 
-/// Forgets digests that no source's bytes match.
+/// Discards digests that no source's chunks match.
 ///
-/// Failure guarded: the list of digests itself can be spoilt on its way, and then every sound
-/// chunk looks bad for ever. It would show as a version that never arrives.
-fn distrust(shared: &StagerShared, key: &WeightsKey) {
+/// Failure guarded: the list of digests itself is corrupted in transit, so that every correct chunk
+/// mismatches for ever, and the version never becomes complete.
+fn discard_digests(shared: &StagerShared, key: &WeightsKey) {
     tracing::warn!(
         version = key.version,
-        "the digests match nobody's chunks; asking the origin anew"
+        "no source's chunks match the digests; requesting the digests from the origin again"
     );
     shared.chunks.borrow_mut().discard_current();
     shared.requires_origin_digests.set(true);
 }
 
-/// Waits for this instance's turn. An engine that holds nothing serves nobody, so it waits for
-/// none.
+/// Waits for this instance's turn to switch. An engine that holds no version of the model serves no
+/// requests, so it does not wait.
 async fn await_turn(shared: &StagerShared, wanted: &ReceivedPlan) {
     if !serves(shared, wanted) || wanted.plan.version.is_none() {
         return;
     }
     let (rank, count) = ranks::rank_and_count(shared, wanted);
-    let due_from = due_from(shared, wanted);
-    let turn =
-        SwitchSchedule::new(shared.options.switch_timing).switch_offset(due_from.elapsed(), rank, count);
+    let staleness_start = staleness_start(shared, wanted);
+    let switch_offset = SwitchSchedule::new(shared.options.switch_timing).switch_offset(
+        staleness_start.elapsed(),
+        rank,
+        count,
+    );
     tracing::info!(
         rank,
         of = count,
-        turn_millis = turn.as_millis() as u64,
-        "waiting for the turn to switch"
+        turn_millis = switch_offset.as_millis() as u64,
+        "waiting for this instance's turn to switch"
     );
-    tokio::time::sleep_until(due_from + turn).await;
+    tokio::time::sleep_until(staleness_start + switch_offset).await;
 }
 
-/// Whether the engine holds the model at all.
+/// Whether the engine holds any version of the model.
 pub(crate) fn serves(shared: &StagerShared, wanted: &ReceivedPlan) -> bool {
     let report = shared.report.borrow();
     let models = report.iter().flat_map(|report| &report.models);
     models.into_iter().any(|held| held.model == wanted.plan.model)
 }
 
-/// When the oldest version was named that the engine has not reached: its bound comes first. One
-/// that was overtaken and taken all the same is reached.
-fn due_from(shared: &StagerShared, wanted: &ReceivedPlan) -> Instant {
+/// When the oldest version that the engine has not reached was published: its staleness bound comes
+/// first. A superseded version that was loaded all the same counts as reached.
+fn staleness_start(shared: &StagerShared, wanted: &ReceivedPlan) -> Instant {
     let older = shared.superseded_loaded.borrow();
     let reached = older.as_ref().is_some_and(|older| {
         older.key.model == wanted.plan.model && older.published_at >= wanted.staleness_start
--- a/crates/stager/src/runtime.rs
+++ b/crates/stager/src/runtime.rs
@@ -48,7 +48,7 @@
         actix_rt::spawn(loads::send(Rc::downgrade(&shared)));
         actix_rt::spawn(probe::run(Rc::downgrade(&shared)));
         actix_rt::spawn(older::watch(Rc::downgrade(&shared)));
-        actix_rt::spawn(switch::watch_open_orders(Rc::downgrade(&shared)));
+        actix_rt::spawn(switch::resend_outstanding_orders(Rc::downgrade(&shared)));
         actix_rt::spawn(reconcile::run(Rc::downgrade(&shared)));
         Ok(Self { _shared: shared, _chunks: chunks })
     }
--- a/crates/stager/src/staging.rs
+++ b/crates/stager/src/staging.rs
@@ -8,15 +8,17 @@
 use egretseam_h1::ExchangeError;
 use egretseam_rpc::WeightsKey;
 
-/// Passes over the staged chunks before the order is postponed. Without faults two suffice: one stages
-/// the chunks, one finds them all correct.
+/// Passes over the staged chunks before the order is postponed. Without faults two suffice: one
+/// stages the chunks, one finds them all correct.
 const MAX_STAGING_PASSES: u32 = 5;
 
-/// Stages the weights and verifies them at the engine. Returns whether all staged chunks are correct.
+/// Stages the weights and verifies them at the engine. Returns whether all staged chunks are
+/// correct.
 ///
-/// Failure guarded: staged bytes can be corrupted at any time, also right after they were staged, and
-/// the engine loads them unchecked. Callers would get answers from corrupted weights. Every chunk is
-/// read back and compared right before the order, until one pass over all finds none to replace.
+/// Failure guarded: staged bytes can be corrupted at any time, also right after they were staged,
+/// and the engine loads them unchecked. Callers would get answers from corrupted weights. Every
+/// chunk is read back and compared right before the order, until one pass over all finds none to
+/// replace.
 pub(crate) async fn stage(shared: &StagerShared, weights: &CompleteWeights) -> bool {
     for _ in 0..MAX_STAGING_PASSES {
         match replace_mismatched(shared, weights).await {
@@ -63,8 +65,8 @@
     get_chunk(shared, key, index).await.ok().flatten()
 }
 
-/// Reads what is staged at the indexes of a version's chunks, up to the first index without a chunk;
-/// `None` if the engine does not answer.
+/// Reads what is staged at the indexes of a version's chunks, up to the first index without a
+/// chunk; `None` if the engine does not answer.
 pub(crate) async fn read_all(
     shared: &StagerShared,
     digests: &WeightDigests,
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -1,11 +1,12 @@
-//! Having the engine take staged weights.
+//! Orders the engine to load staged weights.
 
 use crate::{
     chunks::VersionChunks,
     contents,
     dialect::{LoadOrder, OrderOutcome},
-    engine, fencing, former_orders,
+    engine, fencing,
     order_tracker::CompleteWeights,
+    previous_orders,
     shared::StagerShared,
     staging::stage,
 };
@@ -16,100 +17,109 @@
 };
 use tokio::time::Instant;
 
-/// Pause before an order that was refused or lost is thought over again.
+/// Pause after an order that was rejected, lost or could not be sent, before the next attempt.
 pub(crate) const ORDER_PAUSE: Duration = Duration::from_millis(150);
-/// Time by which entries are told of an order before the engine is: two hops between regions.
-const TELL_AHEAD: Duration = Duration::from_millis(30);
-/// How long running answers may end before the others are cut off. Answers last about a second, so
-/// more than half of them do; for longer, the places that come free stand empty.
-const DRAIN_LIMIT: Duration = Duration::from_millis(700);
-/// How long an engine may take after an accepted order: its running answers end within their
-/// deadlines, and loading takes parts of a second.
-const LOAD_LIMIT: Duration = Duration::from_secs(12);
-/// Time between two looks at an engine that is loading.
-const LOOK_INTERVAL: Duration = Duration::from_millis(40);
+/// Entries are notified this long before the engine gets an order: two hops between regions.
+const ENTRY_NOTICE: Duration = Duration::from_millis(30);
+/// How long running requests may finish before the rest are cut off. Requests last about a second,
+/// so more than half of them finish; with a longer drain the slots that become free would stay
+/// idle.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long an engine may take after it accepts an order: its running requests end within their
+/// deadlines, and loading takes a fraction of a second.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(12);
+/// Poll interval for an engine that drains or loads, and check interval for an outstanding order.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Whether the engine holds at least that version.
+/// Whether the engine holds this version of the model or a newer one.
 pub(crate) fn holds(shared: &StagerShared, key: &WeightsKey) -> bool {
     let report = shared.report.borrow();
     let models = report.iter().flat_map(|report| &report.models);
     models.into_iter().any(|held| held.model == key.model && held.version >= key.version)
 }
 
-/// Sees to it that no order of a former agent is carried out, while nothing is to be staged.
-pub(crate) async fn resolve_former_orders(shared: &StagerShared, key: &WeightsKey) {
+/// Determines the previous agent process's outstanding order and raises the engine's fence, for
+/// when there is nothing to stage.
+pub(crate) async fn resolve_previous_orders(shared: &StagerShared, key: &WeightsKey) {
     let _switching = shared.switching.lock().await;
-    former_orders::resolve(shared, key).await;
+    previous_orders::resolve(shared, key).await;
     fencing::raise(shared, &key.model).await;
 }
 
-/// Has the engine take a version that is here whole, and waits until it has. Returns whether it has.
-/// Answers that run there may end until `drain_until`; later ones are cut off if `cut` allows it.
-pub(crate) async fn take(
+/// Has the engine load a version whose chunks this agent holds complete, and waits until it has
+/// loaded. Returns whether it has. With `preempt`, running requests may finish until `drain_until`
+/// at most and are then cut off; otherwise the engine lets them finish.
+pub(crate) async fn load(
     shared: &StagerShared,
     key: &WeightsKey,
-    cut: bool,
+    preempt: bool,
     drain_until: Instant,
 ) -> bool {
     let _switching = shared.switching.lock().await;
     if holds(shared, key) {
         return true;
     }
-    let is_resolved = former_orders::resolve(shared, key).await;
+    let is_resolved = previous_orders::resolve(shared, key).await;
     fencing::raise(shared, &key.model).await;
-    if !is_resolved || !settle(shared, key, cut, drain_until).await {
+    if !is_resolved || !settle(shared, key, preempt, drain_until).await {
         return false;
     }
-    let whole = shared.chunks.borrow().get(key).and_then(VersionChunks::complete);
-    let Some(weights) = whole else { return false };
-    stage_and_order(shared, &Rc::new(weights), cut, drain_until).await
+    let complete = shared.chunks.borrow().get(key).and_then(VersionChunks::complete);
+    let Some(weights) = complete else { return false };
+    stage_and_order(shared, &Rc::new(weights), preempt, drain_until).await
 }
 
-/// Brings an open order for other weights than `key` to its end; returns whether none is open.
+/// Settles an outstanding order for other weights than `key`; returns whether none is outstanding.
 ///
-/// Failure guarded: the engine carries an unanswered order out seconds later, on the chunks of a
-/// newer version that were staged meanwhile. It shows as whole answers from mixed weights, and as an
-/// engine that goes back to an older version. The order is resent with its own chunks staged,
-/// until the engine has answered a copy or begun one; then it refuses all other copies.
-async fn settle(shared: &StagerShared, key: &WeightsKey, cut: bool, drain_until: Instant) -> bool {
+/// Failure guarded: the engine executes an unanswered order seconds later, on chunks of a newer
+/// version that were staged in between. Callers then get complete answers from mixed weights, and
+/// the engine goes back to an older version. The order is resent with its own chunks staged, until
+/// the engine has answered a copy or begun one; then it rejects all other copies.
+async fn settle(
+    shared: &StagerShared,
+    key: &WeightsKey,
+    preempt: bool,
+    drain_until: Instant,
+) -> bool {
     engine::poll(shared).await;
-    let Some(open) = shared.orders.borrow().outstanding_for_other(key) else { return true };
-    resend(shared, &open, cut, drain_until).await;
+    let Some(outstanding) = shared.orders.borrow().outstanding_for_other(key) else { return true };
+    resend(shared, &outstanding, preempt, drain_until).await;
     shared.orders.borrow().outstanding_for_other(key).is_none()
 }
 
 async fn resend(
     shared: &StagerShared,
-    open: &Rc<CompleteWeights>,
-    cut: bool,
+    outstanding: &Rc<CompleteWeights>,
+    preempt: bool,
     drain_until: Instant,
 ) {
-    tracing::info!(version = open.key.version, "an open order is resent");
-    stage_and_order(shared, open, cut, drain_until).await;
+    tracing::info!(version = outstanding.key.version, "resending the outstanding order");
+    stage_and_order(shared, outstanding, preempt, drain_until).await;
 }
 
-/// Resends the open order whenever there is one, for as long as the agent lives.
+/// Resends the outstanding order whenever there is one, for as long as the agent lives.
 ///
-/// Failure guarded: the chunks of an open order turn bad where they lie, and the engine takes them
-/// when it carries the order out; whoever gave the order was interrupted by a newer version whose
-/// chunks may be long in coming. It shows as answers from spoilt weights. Staging mends them each
-/// time, and an order that is settled takes nothing any more.
-pub(crate) async fn watch_open_orders(shared: Weak<StagerShared>) {
+/// Failure guarded: chunks of an outstanding order are corrupted while staged, and the engine loads
+/// them when it executes the order. The task that sent the order was interrupted by a newer
+/// version, whose chunks may take long to arrive. Callers then get answers from corrupted weights.
+/// Each resend replaces corrupted chunks first, and once the order is settled it loads nothing
+/// more.
+pub(crate) async fn resend_outstanding_orders(shared: Weak<StagerShared>) {
     loop {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         if shared.orders.borrow().outstanding().is_none() {
             continue;
         }
-        // Whoever has just given it waits for its outcome with this lock held.
+        // The task that has just sent the order holds this lock while it awaits the outcome.
         let _switching = shared.switching.lock().await;
         if !engine::poll(&shared).await {
             continue;
         }
-        let open = shared.orders.borrow().outstanding();
-        if let Some(open) = open {
-            let cut = shared.plan.borrow().as_ref().is_some_and(|held| held.plan.may_cut);
-            resend(&shared, &open, cut, Instant::now() + DRAIN_LIMIT).await;
+        let outstanding = shared.orders.borrow().outstanding();
+        if let Some(outstanding) = outstanding {
+            let preempt = shared.plan.borrow().as_ref().is_some_and(|held| held.plan.may_cut);
+            resend(&shared, &outstanding, preempt, Instant::now() + DRAIN_TIMEOUT).await;
         }
     }
 }
@@ -117,49 +127,50 @@
 async fn stage_and_order(
     shared: &StagerShared,
     weights: &Rc<CompleteWeights>,
-    cut: bool,
+    preempt: bool,
     drain_until: Instant,
 ) -> bool {
     if !stage(shared, weights).await {
         return false;
     }
-    // Entries are told before the engine is, so that no request meets an engine that refuses it.
-    let _ordering = shared.begin_order();
-    tokio::join!(tokio::time::sleep(TELL_AHEAD), contents::record(shared, &weights.digests));
-    if cut {
+    // Entries are notified first, so that no request reaches an engine that rejects it.
+    let _order_guard = shared.begin_order();
+    tokio::join!(tokio::time::sleep(ENTRY_NOTICE), contents::record(shared, &weights.digests));
+    if preempt {
         drain(shared, drain_until).await;
     }
-    order(shared, weights, cut).await
+    order(shared, weights, preempt).await
 }
 
-/// Lets running answers end, as many as do in a short time. What is cut off goes on at another
-/// engine, which reads its prompt again, and its caller meets a pause; what has ended costs nobody.
+/// Waits until the engine is idle, at most until `until` and for [`DRAIN_TIMEOUT`]. A request that
+/// is cut off resumes at another engine, which repeats the prefill, and its caller sees a pause;
+/// one that has finished costs nothing.
 async fn drain(shared: &StagerShared, until: Instant) {
-    let until = until.min(Instant::now() + DRAIN_LIMIT);
+    let until = until.min(Instant::now() + DRAIN_TIMEOUT);
     while Instant::now() < until {
         engine::poll(shared).await;
-        let at_work = shared
+        let active_requests = shared
             .report
             .borrow()
             .as_ref()
             .map_or(0, |report| report.running_requests + report.queued_requests);
-        if at_work == 0 {
+        if active_requests == 0 {
             return;
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn order(shared: &StagerShared, weights: &Rc<CompleteWeights>, cut: bool) -> bool {
+async fn order(shared: &StagerShared, weights: &Rc<CompleteWeights>, preempt: bool) -> bool {
     if !engine::poll(shared).await {
         return false;
     }
-    let begun = shared.report.borrow().as_ref().map_or(0, |report| report.orders_begun);
-    let expected_orders_begun = shared.orders.borrow_mut().record_sent(weights, begun);
+    let orders_begun = shared.report.borrow().as_ref().map_or(0, |report| report.orders_begun);
+    let expected_orders_begun = shared.orders.borrow_mut().record_sent(weights, orders_begun);
     let WeightsKey { model, version } = &weights.key;
     let fencing_token = shared.fence.borrow_mut().next_token();
     let order =
-        LoadOrder { model, version: *version, preempt: cut, expected_orders_begun, fencing_token };
+        LoadOrder { model, version: *version, preempt, expected_orders_begun, fencing_token };
     let outcome = send(shared, &order).await;
     shared.orders.borrow_mut().record_outcome(outcome);
     tracing::info!(
@@ -167,9 +178,9 @@
         version,
         begun_before = expected_orders_begun,
         ?outcome,
-        "ordered the engine to take weights"
+        "ordered the engine to load weights"
     );
-    await_version(shared, &weights.key, outcome).await
+    await_loaded(shared, &weights.key, outcome).await
 }
 
 async fn send(shared: &StagerShared, order: &LoadOrder<'_>) -> OrderOutcome {
@@ -182,11 +193,11 @@
             shared.dialect.order_outcome(reply.status)
         }
         Err(error) if error.may_have_run() => {
-            tracing::info!(%error, "the order's outcome is not known");
+            tracing::info!(%error, "no conclusive answer to the order; its outcome is unknown");
             OrderOutcome::Unknown
         }
         Err(error) => {
-            tracing::info!(%error, "the order could not be sent");
+            tracing::info!(%error, "failed to send the order");
             OrderOutcome::Rejected
         }
     };
@@ -198,25 +209,25 @@
     outcome
 }
 
-async fn await_version(shared: &StagerShared, key: &WeightsKey, outcome: OrderOutcome) -> bool {
-    let began = Instant::now();
+async fn await_loaded(shared: &StagerShared, key: &WeightsKey, outcome: OrderOutcome) -> bool {
+    let waiting_since = Instant::now();
     loop {
         engine::poll(shared).await;
         if holds(shared, key) {
             tracing::info!(
                 version = key.version,
-                millis = began.elapsed().as_millis() as u64,
-                "the engine has taken the weights"
+                millis = waiting_since.elapsed().as_millis() as u64,
+                "engine loaded the weights"
             );
             return true;
         }
         let busy = shared.report.borrow().as_ref().is_some_and(|report| report.busy);
-        let idle_too_long = !busy && began.elapsed() > ORDER_PAUSE;
+        let is_idle_after_pause = !busy && waiting_since.elapsed() > ORDER_PAUSE;
         let not_begun = outcome != OrderOutcome::Accepted && !busy;
-        if not_begun || idle_too_long || began.elapsed() > LOAD_LIMIT {
+        if not_begun || is_idle_after_pause || waiting_since.elapsed() > LOAD_TIMEOUT {
             tokio::time::sleep(ORDER_PAUSE).await;
             return false;
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
