--- a/tests/all/order_fence.rs
+++ b/tests/all/order_fence.rs
@@ -1,4 +1,5 @@
-//! Fencing tokens of successive agent processes at one engine, checked against a model of the engine.
+//! Fencing tokens of successive agent processes at one engine, checked against a model of the
+//! engine.
 
 use egretseam_proto::ModelName;
 use egretseam_serving::{HeldModel, Incarnation};
@@ -71,8 +72,8 @@
         ..Config::default()
     })]
 
-    /// Guards against late orders of a previous agent process that pass the fence because the clock was
-    /// set back when the next process started.
+    /// Guards against late orders of a previous agent process that pass the fence because the clock
+    /// was set back when the next process started.
     #[test]
     fn orders_of_all_previous_processes_are_rejected(
         processes in prop::collection::vec(process(), 1..12),
@@ -135,7 +136,8 @@
     }
 }
 
-/// Guards against an endless series of orders to an engine that rejects those for the version it holds.
+/// Guards against an endless series of orders to an engine that rejects those for the version it
+/// holds.
 #[actix_rt::test]
 async fn raising_the_fence_is_retried_only_after_5_s() {
     let now = Instant::now();
--- a/tests/all/order_tracker.rs
+++ b/tests/all/order_tracker.rs
@@ -131,8 +131,8 @@
         ..Config::default()
     })]
 
-    /// Guards against answers from mixed weights: copies of an order are lost, delayed or duplicated, and
-    /// the engine begins one while another version is staged.
+    /// Guards against answers from mixed weights: copies of an order are lost, delayed or
+    /// duplicated, and the engine begins one while another version is staged.
     #[test]
     fn no_order_begins_on_another_versions_chunks(steps in prop::collection::vec(step(), 1..60)) {
         let mut model = OrderModel { wanted_version: 1, ..OrderModel::default() };
@@ -141,8 +141,9 @@
         }
     }
 
-    /// Guards against an engine that never gets the newest version because the agent cannot settle an
-    /// outstanding order, although orders are answered again. Three answered orders must suffice.
+    /// Guards against an engine that never gets the newest version because the agent cannot settle
+    /// an outstanding order, although orders are answered again. Three answered orders must
+    /// suffice.
     #[test]
     fn the_newest_version_is_loaded_once_orders_are_answered(
         steps in prop::collection::vec(step(), 1..60),
--- a/tests/all/plan_following.rs
+++ b/tests/all/plan_following.rs
@@ -54,9 +54,9 @@
 }
 
 /// Guards against added engines that serve three seconds later than the others: a control member is
-/// frozen while its machine still accepts connections, and agents that call it first wait for a change
-/// of the plan that never arrives. The first call to a member must ask for an immediate answer; later
-/// ones may wait.
+/// frozen while its machine still accepts connections, and agents that call it first wait for a
+/// change of the plan that never arrives. The first call to a member must ask for an immediate
+/// answer; later ones may wait.
 #[actix_rt::test]
 async fn the_first_call_to_a_member_asks_for_an_immediate_answer() {
     let secret = PeerSecret::derive("a token of the test");
