--- a/crates/stager/src/engine.rs
+++ b/crates/stager/src/engine.rs
@@ -34,8 +34,8 @@
 /// Polls the engine once; returns whether it sent a readable report.
 pub(crate) async fn poll(shared: &StagerShared) -> bool {
     let asked_at = Instant::now();
-    let call = shared.dialect.report_request();
-    let report = match shared.poll_engine(&call).await {
+    let request = shared.dialect.report_request();
+    let report = match shared.poll_engine(&request).await {
         Ok(reply) if reply.status == 200 => shared.dialect.parse_report(&reply.body),
         Ok(reply) => Err(format!("status {}", reply.status)),
         Err(error) => Err(error.to_string()),
--- a/crates/stager/src/follow.rs
+++ b/crates/stager/src/follow.rs
@@ -34,45 +34,45 @@
     let mut has_answered = false;
     let mut position = PlanPosition::default();
     loop {
-        let Some(held) = shared.upgrade() else { return };
+        let Some(state) = shared.upgrade() else { return };
         if members.is_empty() {
-            members = held.options.feed_seeds.borrow().clone();
+            members = state.options.feed_seeds.borrow().clone();
         }
         let Some(address) = members.get(member_index % members.len().max(1)).cloned() else {
             tokio::time::sleep(FAILOVER_DELAY).await;
             continue;
         };
         if link.as_ref().is_none_or(|link| link.address() != address) {
-            link = Some(feed_link(&held, &address));
+            link = Some(feed_link(&state, &address));
             has_answered = false;
         }
-        let Some(current) = &link else { continue };
-        let mut report = held.report.subscribe();
+        let Some(current_link) = &link else { continue };
+        let mut report = state.report.subscribe();
         report.mark_unchanged();
         let call = AgentCall {
-            target: held.options.target,
-            service: held.options.service.clone(),
-            engine: held.engine_status(),
-            run: position.run,
-            seen: position.seen,
-            peers_seen: position.peers_seen,
+            target: state.options.target,
+            service: state.options.service.clone(),
+            engine: state.engine_status(),
+            run: position.member_incarnation,
+            seen: position.plan_number,
+            peers_seen: position.peers_number,
             wait_millis: call_wait(has_answered).as_millis() as u64,
         };
         let reply = tokio::select! {
-            reply = current.agent(call) => Some(reply),
+            reply = current_link.agent(call) => Some(reply),
             // The call is abandoned and repeated at once with the engine's new status.
             _ = report.changed() => None,
-            () = held.report_due.notified() => None,
+            () = state.report_due.notified() => None,
         };
         match reply {
             None => {}
             Some(Ok(reply)) => {
                 has_answered = true;
-                held.control_member.set(address.parse().ok());
+                state.control_member.set(address.parse().ok());
                 if !reply.members.is_empty() {
                     members.clone_from(&reply.members);
                 }
-                position.apply(&held, reply);
+                position.apply(&state, reply);
             }
             Some(Err(error)) => {
                 tracing::info!(
@@ -80,11 +80,11 @@
                     "call to control member failed; trying the next member"
                 );
                 member_index = member_index.wrapping_add(1);
-                let seeds = held.options.feed_seeds.borrow().clone();
+                let seeds = state.options.feed_seeds.borrow().clone();
                 members.extend(
                     seeds.into_iter().filter(|seed| !members.contains(seed)).collect::<Vec<_>>(),
                 );
-                drop(held);
+                drop(state);
                 tokio::time::sleep(FAILOVER_DELAY).await;
             }
         }
@@ -115,15 +115,16 @@
 /// peers.
 #[derive(Default)]
 struct PlanPosition {
-    run: u64,
-    seen: u64,
-    peers_seen: u64,
+    member_incarnation: u64,
+    plan_number: u64,
+    peers_number: u64,
     peers: PeerMap,
 }
 
 impl PlanPosition {
     fn apply(&mut self, shared: &StagerShared, reply: AgentReply) {
-        (self.run, self.seen, self.peers_seen) = (reply.run, reply.seen, reply.peers_seen);
+        (self.member_incarnation, self.plan_number, self.peers_number) =
+            (reply.run, reply.seen, reply.peers_seen);
         let has_peers = !reply.peers.is_empty();
         apply_peer_updates(&mut self.peers, reply.peers);
         let peers = || {
@@ -136,10 +137,10 @@
         if let Some(plan) = reply.plan {
             apply_plan(shared, plan, peers());
         } else if has_peers {
-            shared.plan.send_if_modified(|held| {
-                let Some(held) = held else { return false };
-                held.peers = peers();
-                tracing::info!(peers = held.peers.len(), "peers changed");
+            shared.plan.send_if_modified(|current_plan| {
+                let Some(current_plan) = current_plan else { return false };
+                current_plan.peers = peers();
+                tracing::info!(peers = current_plan.peers.len(), "peers changed");
                 true
             });
         }
@@ -150,24 +151,27 @@
     let age = plan.version.as_ref().map_or(0, |published| published.age_millis);
     let now = Instant::now();
     let published_at_by_age = now.checked_sub(Duration::from_millis(age)).unwrap_or(now);
-    shared.plan.send_modify(|held| {
+    shared.plan.send_modify(|current_plan| {
         let version = plan.version.as_ref().map(|published| published.version);
-        let same_version = held.as_ref().filter(|held| {
-            held.plan.version.as_ref().map(|published| published.version) == version
+        let same_version = current_plan.as_ref().filter(|current_plan| {
+            current_plan.plan.version.as_ref().map(|published| published.version) == version
         });
-        let is_older = held.as_ref().is_some_and(|held| {
-            held.plan.model == plan.model && held.version() > version.unwrap_or(1)
+        let is_older = current_plan.as_ref().is_some_and(|current_plan| {
+            current_plan.plan.model == plan.model && current_plan.version() > version.unwrap_or(1)
         });
         if is_older {
             // The member lags behind; the newest version that was ever published is wanted.
             return;
         }
-        let published_at = same_version
-            .map_or(published_at_by_age, |held| held.published_at.min(published_at_by_age));
+        let published_at = same_version.map_or(published_at_by_age, |current_plan| {
+            current_plan.published_at.min(published_at_by_age)
+        });
         tracing::info!(?version, peers = peers.len(), "plan changed");
-        let not_loaded = held.as_ref().filter(|held| !switch::holds(shared, &held.key()));
-        let staleness_start =
-            not_loaded.map_or(published_at, |held| held.staleness_start.min(published_at));
-        *held = Some(ReceivedPlan { plan, peers, published_at, staleness_start });
+        let not_loaded = current_plan
+            .as_ref()
+            .filter(|current_plan| !switch::holds(shared, &current_plan.key()));
+        let staleness_start = not_loaded
+            .map_or(published_at, |current_plan| current_plan.staleness_start.min(published_at));
+        *current_plan = Some(ReceivedPlan { plan, peers, published_at, staleness_start });
     });
 }
--- a/crates/stager/src/older.rs
+++ b/crates/stager/src/older.rs
@@ -1,4 +1,4 @@
-//! Completes and loads a superseded version when its chunks can be had and the newest version's
+//! Completes and loads a superseded version when its chunks can be fetched and the newest version's
 //! cannot.
 //!
 //! This covers versions that are published in quick succession while the origin becomes
--- a/crates/stager/src/options.rs
+++ b/crates/stager/src/options.rs
@@ -38,8 +38,8 @@
     pub upload_bytes_per_second: u64,
     /// Whether chunks are fetched while the engine is still starting.
     pub fetches_early: bool,
-    /// Whether a superseded version is still completed and loaded if it can be had before the
-    /// newest.
+    /// Whether a superseded version is still completed and loaded if it can be complete
+    /// before the newest.
     pub finishes_older: bool,
     /// When the engine may switch to new weights.
     pub switch_timing: SwitchTiming,
--- a/crates/stager/src/order_tracker.rs
+++ b/crates/stager/src/order_tracker.rs
@@ -11,7 +11,7 @@
 use egretseam_rpc::WeightsKey;
 use std::rc::Rc;
 
-/// Verified chunks of a whole version.
+/// Verified chunks of a complete version.
 #[derive(Clone, Debug)]
 pub struct CompleteWeights {
     /// Model and version.
--- a/crates/stager/src/reconcile.rs
+++ b/crates/stager/src/reconcile.rs
@@ -21,10 +21,10 @@
 
 /// Carries out the newest plan, for as long as the agent lives.
 pub(crate) async fn run(shared: Weak<StagerShared>) {
-    let Some(held) = shared.upgrade() else { return };
-    let mut plan = held.plan.subscribe();
-    let mut report = held.report.subscribe();
-    drop(held);
+    let Some(state) = shared.upgrade() else { return };
+    let mut plan = state.plan.subscribe();
+    let mut report = state.report.subscribe();
+    drop(state);
     let mut previous: Option<ReceivedPlan> = None;
     loop {
         let Some(shared) = shared.upgrade() else { return };
--- a/crates/stager/src/staging.rs
+++ b/crates/stager/src/staging.rs
@@ -89,15 +89,15 @@
     key: &WeightsKey,
     index: u32,
 ) -> Result<Option<Bytes>, ExchangeError> {
-    let call = shared.dialect.get_chunk_request(&key.model, index);
-    let reply = shared.call_engine(&call).await?;
+    let request = shared.dialect.get_chunk_request(&key.model, index);
+    let reply = shared.call_engine(&request).await?;
     Ok((reply.status == 200).then_some(reply.body))
 }
 
 /// Stages a chunk; returns whether the engine accepted it.
 async fn put_chunk(shared: &StagerShared, key: &WeightsKey, index: u32, bytes: Bytes) -> bool {
-    let call = shared.dialect.put_chunk_request(&key.model, index, bytes);
-    match shared.call_engine(&call).await {
+    let request = shared.dialect.put_chunk_request(&key.model, index, bytes);
+    match shared.call_engine(&request).await {
         Ok(reply) if reply.status < 300 => true,
         Ok(reply) => {
             tracing::info!(status = reply.status, index, "engine rejected a chunk to stage");
--- a/tests/all/fleet/late_orders.rs
+++ b/tests/all/fleet/late_orders.rs
@@ -18,10 +18,10 @@
 
 /// Guards against complete streams with status 200 that an engine computed with the weights of
 /// another version than the one it reports. The order for version 2 gets no answer. An agent that
-/// takes an engine which is not busy 1.5 s after an order for one that rejected it stages version 3;
-/// the engine loads that, and then executes the order for version 2 on version 3's chunks. When this
-/// was seen, version 3 was staged 0.19 s after the answer timed out and loaded 0.38 s later, and
-/// entries saw version 2 again another 0.45 s later.
+/// takes an engine which is not busy 1.5 s after an order for one that rejected it stages version
+/// 3; the engine loads that, and then executes the order for version 2 on version 3's chunks. When
+/// this was seen, version 3 was staged 0.19 s after the answer timed out and loaded 0.38 s later,
+/// and entries saw version 2 again another 0.45 s later.
 #[actix_rt::test]
 async fn an_unanswered_order_is_not_executed_on_a_newer_versions_chunks() {
     let fixture = WeightsFixture::start_before_superseding().await;
