--- a/crates/serving/src/target_table.rs
+++ b/crates/serving/src/target_table.rs
@@ -1,13 +1,13 @@
-//! Targets as one entry knows them: what control members pass on, what agents see, and what the
-//! entry's own requests showed.
+//! Targets as one entry sees them: merged from what control members pass on, what agents report and
+//! what the entry's own requests show.
 
 mod row;
 
 pub use self::row::LoadSample;
 
-pub(crate) use self::row::{EntryPart, TargetRow};
+pub(crate) use self::row::{EntryShare, TargetRow};
 
-use self::row::{Sighting, told_at};
+use self::row::{Liveness, instant_at_age};
 use crate::{
     health::AttemptOutcome,
     news::{EngineNews, Incarnation, NamedVersion, TargetId, TargetNews, TargetState},
@@ -18,26 +18,28 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// How long a target that left is remembered; see the registry's limit of the same kind.
-const GONE_MEMORY: Duration = Duration::from_secs(60);
-/// How long a run whose announcements have stopped keeps an earlier one under its name out. Control
-/// members do so for ten seconds longer, so that what they then pass on is taken here at once.
-const SILENT_MEMORY: Duration = Duration::from_secs(50);
-
-/// Longest time that a target counts as slow after its start, whatever it says.
-const LONGEST_COLD: Duration = Duration::from_secs(600);
-
-/// Time to the first byte that is assumed at least.
-const USUAL_FIRST_BYTE: Duration = Duration::from_millis(300);
-/// How many times its first bytes' mean time a request may take to begin: waits in a full engine
-/// spread to about twice their mean.
-const WAITS_AHEAD: u32 = 2;
-/// How many times the usual in its service a first byte must have taken to count as slow.
-const SLOW_TIMES: u32 = 3;
-/// Time that stands for the first byte of a request whose connection could not be opened in time.
-const UNREACHED: Duration = Duration::from_secs(1);
-
-/// A version of which requests must not begin on an older one any more from some moment on.
+/// How long the table keeps a removed target's tombstone and the row of a target that is silent;
+/// see the registry's limit of the same kind.
+const TARGET_RETENTION: Duration = Duration::from_secs(60);
+/// How long a silent incarnation still keeps out earlier ones under its name. Control members do so
+/// for ten seconds longer, so that what they pass on afterwards is accepted here at once.
+const SILENT_RETENTION: Duration = Duration::from_secs(50);
+
+/// Longest time after its announcement for which a target counts as cold, whatever it announces.
+const MAX_COLD_START: Duration = Duration::from_secs(600);
+
+/// Least time to the first byte that is assumed when predicting when a request starts.
+const MIN_ASSUMED_FIRST_BYTE: Duration = Duration::from_millis(300);
+/// How many times the mean time to the first byte a request may take to start: waits in a full
+/// engine spread to about twice their mean.
+const START_WAIT_FACTOR: u32 = 2;
+/// Multiple of its service's median first byte above which a target's counts as slow.
+const SLOW_FACTOR: u32 = 3;
+/// Time to the first byte that is recorded for a request whose connection could not be opened in
+/// time.
+const UNREACHABLE_FIRST_BYTE: Duration = Duration::from_secs(1);
+
+/// A version such that from `enforced_at` on no request may start on an older one.
 #[derive(Clone, Copy, Debug)]
 struct VersionFloor {
     version: u64,
@@ -52,18 +54,18 @@
     pub(crate) started_at: Instant,
     pub(crate) rows: IndexMap<TargetId, TargetRow>,
     pub(crate) services: IndexMap<ServiceName, Vec<TargetId>>,
-    /// The run that has a row, by name: the latest that was heard of.
-    current: IndexMap<String, Incarnation>,
-    /// The last run under a name that left, and when that was heard.
-    gone: IndexMap<String, (Incarnation, Instant)>,
-    engines: IndexMap<SocketAddr, (EngineNews, Instant)>,
-    /// Runs by their address, which samples of load and news of engines name: two thousand samples a
-    /// second at 184 targets. One takes 0.13 us to note at 1,000 targets, and 1.07 us by a search of
-    /// all rows (`egretseam-bench slopes`).
+    /// The incarnation that has a row, by target name: the latest that was reported.
+    current_incarnations: IndexMap<String, Incarnation>,
+    /// The last incarnation under a name that was removed, and when this entry learned of it.
+    tombstones: IndexMap<String, (Incarnation, Instant)>,
+    engine_statuses: IndexMap<SocketAddr, (EngineNews, Instant)>,
+    /// Targets by their address, which load samples and reports on engines name: two thousand
+    /// samples a second at 184 targets. Recording one takes 0.13 us at 1,000 targets, and 1.07 us
+    /// if all rows are searched (`egretseam-bench slopes`).
     by_address: IndexMap<SocketAddr, Vec<TargetId>>,
-    floors: IndexMap<ModelName, Vec<VersionFloor>>,
+    version_floors: IndexMap<ModelName, Vec<VersionFloor>>,
     /// Entries that send to the same targets, this one among them.
-    sharers: usize,
+    entry_count: usize,
 }
 
 impl TargetTable {
@@ -75,133 +77,146 @@
             started_at: Instant::now(),
             rows: IndexMap::new(),
             services: IndexMap::new(),
-            current: IndexMap::new(),
-            gone: IndexMap::new(),
-            engines: IndexMap::new(),
+            current_incarnations: IndexMap::new(),
+            tombstones: IndexMap::new(),
+            engine_statuses: IndexMap::new(),
             by_address: IndexMap::new(),
-            floors: IndexMap::new(),
-            sharers: 1,
+            version_floors: IndexMap::new(),
+            entry_count: 1,
         }
     }
 
-    /// Notes how many entries send to the same targets, this one among them.
+    /// Sets how many entries send to the same targets, this one among them.
     ///
-    /// Answers the load pattern of a full service: all entries are told at the same moment that a
-    /// place is free, all have requests waiting, and each would send one. With nine entries engines
-    /// then held 20 requests in 16 places on average, and the time to the first byte at the middle
-    /// request was 490 ms instead of 270 ms. Each entry therefore takes its part of what is free,
-    /// and keeps what it has.
+    /// When a service is full, all entries learn at the same moment that a slot is free, all have
+    /// requests waiting, and each would send one. With nine entries engines then held 20 requests
+    /// in 16 slots on average, and the median time to the first byte was 490 ms instead of 270 ms.
+    /// Each entry therefore takes its share of the free slots, and keeps those that it has.
     pub fn set_entry_count(&mut self, entries: usize) {
-        self.sharers = entries.max(1);
+        self.entry_count = entries.max(1);
     }
 
-    pub(crate) fn own_part(&self) -> EntryPart {
-        EntryPart { fill: self.policy.max_fill, share: 1.0 / self.sharers as f64 }
+    pub(crate) fn entry_share(&self) -> EntryShare {
+        EntryShare { max_fill: self.policy.max_fill, fraction: 1.0 / self.entry_count as f64 }
     }
 
-    /// Takes in what control member `source` passes on about a target.
-    pub fn apply_target(&mut self, source: u32, news: &TargetNews, now: Instant) {
-        let id = &news.record.id;
-        if self.is_outdated(id, now) {
+    /// Applies a target's status as control member `source` passes it on. An announcement older
+    /// than the known one changes only the target's liveness.
+    pub fn apply_target(&mut self, source: u32, status: &TargetNews, now: Instant) {
+        let id = &status.record.id;
+        if self.is_superseded(id, now) {
             return;
         }
         if !self.rows.contains_key(id) {
-            self.add(news, now);
+            self.insert_row(status, now);
         }
         let Some(row) = self.rows.get_mut(id) else { return };
-        let sighting = if news.silent { Sighting::Silent } else { Sighting::Heard };
-        row.sightings.insert(source, sighting);
-        let late =
-            news.record.sequence < row.record.sequence || news.record.state < row.record.state;
-        if late {
+        let liveness = if status.silent { Liveness::Silent } else { Liveness::Alive };
+        row.liveness.insert(source, liveness);
+        let outdated =
+            status.record.sequence < row.record.sequence || status.record.state < row.record.state;
+        if outdated {
             return;
         }
-        let said_at = told_at(news.age_millis, now);
-        row.heard_at = row.heard_at.max(said_at);
-        if said_at >= row.models_at {
-            row.models = news.record.models.clone();
-            row.models_at = said_at;
+        let reported_at = instant_at_age(status.age_millis, now);
+        row.last_heard_at = row.last_heard_at.max(reported_at);
+        if reported_at >= row.models_reported_at {
+            row.models = status.record.models.clone();
+            row.models_reported_at = reported_at;
         }
-        let cold = Duration::from_millis(news.record.cold_millis).min(LONGEST_COLD);
-        row.cold_until = said_at + cold;
-        row.record = news.record.clone();
+        let cold = Duration::from_millis(status.record.cold_millis).min(MAX_COLD_START);
+        row.cold_until = reported_at + cold;
+        row.record = status.record.clone();
     }
 
-    /// Whether a run has left, or a later one goes by its name.
+    /// Whether an incarnation was removed, or a later one goes by its name.
     ///
-    /// Failure guarded: control members hear of a restart at different moments, and one that has
-    /// heard nothing of the later run passes the former one on as living. It would show as requests
-    /// by a load and health that are no longer so. The later run keeps the former one out until it
-    /// has been silent for long; then it may be that its clock was ahead when it started.
-    fn is_outdated(&self, id: &TargetId, now: Instant) -> bool {
-        let left = self.gone.get(&id.name).is_some_and(|(gone, _)| *gone >= id.incarnation);
-        let Some(held) = self.current.get(&id.name).filter(|held| **held > id.incarnation) else {
-            return left;
+    /// Control members learn of a restart at different times, and one that has not yet heard of the
+    /// later incarnation still reports the earlier one as alive. Without this check requests would
+    /// be placed by load and health that no longer hold. The later incarnation keeps the earlier
+    /// one out until it has been silent for [`SILENT_RETENTION`]; its clock may then have been
+    /// ahead when it started.
+    fn is_superseded(&self, id: &TargetId, now: Instant) -> bool {
+        let removed = self
+            .tombstones
+            .get(&id.name)
+            .is_some_and(|(incarnation, _)| *incarnation >= id.incarnation);
+        let Some(current) =
+            self.current_incarnations.get(&id.name).filter(|current| **current > id.incarnation)
+        else {
+            return removed;
         };
-        let row = self.rows.get(&TargetId::new(&id.name, *held));
+        let row = self.rows.get(&TargetId::new(&id.name, *current));
         let forgotten = row.is_none_or(|row| {
-            row.is_silent(now) && now.saturating_duration_since(row.heard_at) > SILENT_MEMORY
+            row.is_silent(now)
+                && now.saturating_duration_since(row.last_heard_at) > SILENT_RETENTION
         });
-        left || !forgotten
+        removed || !forgotten
     }
 
-    /// Adds a run and drops the row of any other one under its name, with all that was learned of
-    /// it.
-    fn add(&mut self, news: &TargetNews, now: Instant) {
-        let id = &news.record.id;
-        if let Some(former) = self.current.get(&id.name).copied() {
-            self.forget(&TargetId::new(&id.name, former));
+    /// Inserts the row of an incarnation and removes that of any other one under its name, with all
+    /// that was learned of it.
+    fn insert_row(&mut self, status: &TargetNews, now: Instant) {
+        let id = &status.record.id;
+        if let Some(former) = self.current_incarnations.get(&id.name).copied() {
+            self.remove_row(&TargetId::new(&id.name, former));
         }
-        let row = TargetRow::new(news, now);
+        let row = TargetRow::new(status, now);
         self.services.entry(row.record.service.clone()).or_default().push(id.clone());
         self.by_address.entry(row.record.address).or_default().push(id.clone());
         self.rows.insert(id.clone(), row);
-        self.current.insert(id.name.clone(), id.incarnation);
-        let engine = self.engines.get(&news.record.address).cloned();
+        self.current_incarnations.insert(id.name.clone(), id.incarnation);
+        let engine = self.engine_statuses.get(&status.record.address).cloned();
         if let Some((engine, seen_at)) = engine {
             self.update_engine_rows(&engine, seen_at);
         }
     }
 
-    /// Takes in what an agent sees of its engine.
-    pub fn apply_engine(&mut self, news: &EngineNews, now: Instant) {
-        let seen_at = told_at(news.age_millis, now);
-        if self.engines.get(&news.address).is_some_and(|(_, held_at)| *held_at > seen_at) {
+    /// Applies what an agent reports on its engine.
+    pub fn apply_engine(&mut self, status: &EngineNews, now: Instant) {
+        let seen_at = instant_at_age(status.age_millis, now);
+        if self.engine_statuses.get(&status.address).is_some_and(|(_, held_at)| *held_at > seen_at)
+        {
             return;
         }
-        self.engines.insert(news.address, (news.clone(), seen_at));
-        self.update_engine_rows(news, seen_at);
+        self.engine_statuses.insert(status.address, (status.clone(), seen_at));
+        self.update_engine_rows(status, seen_at);
     }
 
-    fn update_engine_rows(&mut self, news: &EngineNews, seen_at: Instant) {
-        for id in self.by_address.get(&news.address).into_iter().flatten() {
+    fn update_engine_rows(&mut self, status: &EngineNews, seen_at: Instant) {
+        for id in self.by_address.get(&status.address).into_iter().flatten() {
             if let Some(row) = self.rows.get_mut(id) {
-                row.apply_engine(news, seen_at);
+                row.apply_engine(status, seen_at);
             }
         }
     }
 
-    /// Notes that a run of a target has left, for good, and every earlier one with it.
+    /// Removes an incarnation of a target for good, and every earlier one under its name.
     pub fn remove_target(&mut self, id: &TargetId, now: Instant) {
-        if let Some(held) = self.current.get(&id.name).filter(|held| **held <= id.incarnation) {
-            self.forget(&TargetId::new(&id.name, *held));
+        if let Some(current) =
+            self.current_incarnations.get(&id.name).filter(|current| **current <= id.incarnation)
+        {
+            self.remove_row(&TargetId::new(&id.name, *current));
         }
-        self.gone.retain(|_, (_, at)| now.saturating_duration_since(*at) < GONE_MEMORY);
-        let known = self.gone.get(&id.name).is_some_and(|(gone, _)| *gone > id.incarnation);
-        if !known {
-            self.gone.insert(id.name.clone(), (id.incarnation, now));
+        self.tombstones.retain(|_, (_, at)| now.saturating_duration_since(*at) < TARGET_RETENTION);
+        let superseded = self
+            .tombstones
+            .get(&id.name)
+            .is_some_and(|(incarnation, _)| *incarnation > id.incarnation);
+        if !superseded {
+            self.tombstones.insert(id.name.clone(), (id.incarnation, now));
         }
     }
 
-    fn forget(&mut self, id: &TargetId) {
+    fn remove_row(&mut self, id: &TargetId) {
         let Some(row) = self.rows.shift_remove(id) else { return };
-        self.current.shift_remove(&id.name);
+        self.current_incarnations.shift_remove(&id.name);
         if let Some(ids) = self.services.get_mut(&row.record.service) {
             ids.retain(|other| other != id);
         }
         let address = row.record.address;
-        let sharing = self.by_address.get_mut(&address);
-        let is_last = sharing.is_some_and(|ids| {
+        let same_address = self.by_address.get_mut(&address);
+        let is_last = same_address.is_some_and(|ids| {
             ids.retain(|other| other != id);
             ids.is_empty()
         });
@@ -210,77 +225,83 @@
         }
     }
 
-    /// Notes that a control member cannot be reached: its word no longer counts where another's
-    /// is known. Where it is the only one, it stands, so that targets outlive all of control.
+    /// Drops what a control member reported because it cannot be reached, where another member
+    /// reports the target too. Where it is the only one, its report stands, so that targets stay in
+    /// use while all of control is down.
     pub fn source_lost(&mut self, source: u32) {
-        for row in self.rows.values_mut().filter(|row| row.sightings.len() > 1) {
-            row.sightings.shift_remove(&source);
+        for row in self.rows.values_mut().filter(|row| row.liveness.len() > 1) {
+            row.liveness.shift_remove(&source);
         }
     }
 
-    /// Notes that a control member restarted and begins with nothing.
+    /// Marks what a control member reported as unconfirmed, since it restarted with an empty
+    /// registry.
     pub fn source_restarted(&mut self, source: u32, now: Instant) {
         for row in self.rows.values_mut() {
-            if let Some(sighting) = row.sightings.get_mut(&source) {
-                *sighting = Sighting::Stale(now);
+            if let Some(liveness) = row.liveness.get_mut(&source) {
+                *liveness = Liveness::Unconfirmed(now);
             }
         }
     }
 
-    /// Forgets targets that nobody has heard of for long and that hold nothing of ours.
+    /// Removes silent targets about whose models nothing was reported for a minute and that run no
+    /// request of this entry.
     pub fn expire(&mut self, now: Instant) {
-        let dead: Vec<TargetId> = self
+        let expired: Vec<TargetId> = self
             .rows
             .iter()
             .filter(|(_, row)| row.own_in_flight == 0 && row.is_silent(now))
-            .filter(|(_, row)| now.saturating_duration_since(row.models_at) > GONE_MEMORY)
+            .filter(|(_, row)| {
+                now.saturating_duration_since(row.models_reported_at) > TARGET_RETENTION
+            })
             .map(|(id, _)| id.clone())
             .collect();
-        for id in dead {
-            self.forget(&id);
+        for id in expired {
+            self.remove_row(&id);
         }
     }
 
-    /// Notes a named version; from `limit` after it was named no request may begin on an older one.
+    /// Applies a named version: from `limit` after it was named no request may start on an older
+    /// one.
     pub fn apply_version(&mut self, named: &NamedVersion, limit: Duration, now: Instant) {
-        let floors = self.floors.entry(named.model.clone()).or_default();
+        let floors = self.version_floors.entry(named.model.clone()).or_default();
         if floors.iter().any(|floor| floor.version == named.version) {
             return;
         }
-        let enforced_at = told_at(named.age_millis, now) + limit;
+        let enforced_at = instant_at_age(named.age_millis, now) + limit;
         floors.push(VersionFloor { version: named.version, enforced_at });
         if floors.len() > 8 {
             floors.remove(0);
         }
     }
 
-    /// The oldest version on which a request that begins at `moment` may do so.
-    fn lowest_version(&self, model: &ModelName, moment: Instant) -> u64 {
-        let floors = self.floors.get(model).into_iter().flatten();
+    /// The oldest version on which a request may start at `moment`.
+    fn min_allowed_version(&self, model: &ModelName, moment: Instant) -> u64 {
+        let floors = self.version_floors.get(model).into_iter().flatten();
         let enforced = floors.filter(|floor| floor.enforced_at <= moment);
         enforced.map(|floor| floor.version).max().unwrap_or(0)
     }
 
-    /// By when a request that was sent to a target must have begun there, if the target's weights
-    /// must not be used for ever.
+    /// By when a request sent to a target must start there, if the use of the target's weights is
+    /// to end; `None` if no newer version was named.
     pub fn start_deadline(&self, id: &TargetId, model: &ModelName) -> Option<Instant> {
         let held = self.rows.get(id)?.held_version(model)?;
-        let newer = self.floors.get(model)?.iter().filter(|floor| floor.version > held);
+        let newer = self.version_floors.get(model)?.iter().filter(|floor| floor.version > held);
         newer.map(|floor| floor.enforced_at).min()
     }
 
-    /// Whether a request that is sent to a target now begins there on a version that is allowed.
+    /// Whether a request sent to a target now starts there on a version that is still allowed.
     ///
-    /// Failure guarded: a request that begins on old weights after the bound. Past it, a target that
-    /// is not known to hold the named version or a later one gets nothing; and since a request waits
-    /// in a full engine before it begins, one with old weights is left earlier by some multiple of
-    /// the time that its first bytes take.
+    /// Guards against requests that start on old weights after the bound. Once the bound has
+    /// passed, a target that is not known to hold the named version or a later one gets no request.
+    /// Since a request waits in a full engine before it starts, a target with old weights is
+    /// excluded earlier, by a multiple of its mean time to the first byte.
     ///
-    /// A target that was much slower of late than is usual in its service is left earlier still,
-    /// even if it was not asked since, and so is one whose agent finds its link slow: behind a narrow
-    /// link a request was on its way for 1.5 s, and its withdrawal came no sooner than the request
-    /// itself.
-    pub(crate) fn begins_allowed(
+    /// A target that was recently much slower than the median of its service is excluded earlier
+    /// still, even if it got no request since, and so is one whose agent reports a slow link: on a
+    /// slow link a request took 1.5 s to arrive, and its cancellation arrived no sooner than the
+    /// request itself.
+    pub(crate) fn starts_on_allowed_version(
         &self,
         row: &TargetRow,
         model: &ModelName,
@@ -288,61 +309,66 @@
         now: Instant,
     ) -> bool {
         let Some(held) = row.held_version(model) else { return false };
-        let slow = row.slowest(now).filter(|slowest| *slowest > median_first_byte * SLOW_TIMES);
-        let wait = row.first_byte(now).max(slow).unwrap_or_default().max(USUAL_FIRST_BYTE);
-        held >= self.lowest_version(model, now + wait * WAITS_AHEAD)
+        let slow = row
+            .slowest_first_byte(now)
+            .filter(|slowest| *slowest > median_first_byte * SLOW_FACTOR);
+        let wait =
+            row.mean_first_byte(now).max(slow).unwrap_or_default().max(MIN_ASSUMED_FIRST_BYTE);
+        held >= self.min_allowed_version(model, now + wait * START_WAIT_FACTOR)
     }
 
-    /// How long requests are on their way over a target's link by its agent's word; zero for a usual one.
+    /// Delay of requests on the link of a target's instance, as its agent reports it; zero unless
+    /// the link is slow.
     pub fn link_delay(&self, id: &TargetId) -> Duration {
         self.rows.get(id).map_or(Duration::ZERO, |row| row.link_delay)
     }
 
-    /// Notes how busy a target says it is.
+    /// Records the number of requests that a target reports now.
     pub fn record_load(&mut self, id: &TargetId, busy: u32, now: Instant) {
-        let part = self.own_part();
+        let share = self.entry_share();
         if let Some(row) = self.rows.get_mut(id) {
-            row.record_load(busy, now, part);
+            row.record_load(busy, now, share);
         }
     }
 
-    /// Notes how busy the target at an address was at some earlier moment.
+    /// Records the number of requests that the target at an address had at an earlier moment.
     pub fn record_load_at(&mut self, address: SocketAddr, busy: u32, measured_at: Instant) {
-        let part = self.own_part();
+        let share = self.entry_share();
         for id in self.by_address.get(&address).into_iter().flatten() {
             if let Some(row) = self.rows.get_mut(id) {
-                row.record_load(busy, measured_at, part);
+                row.record_load(busy, measured_at, share);
             }
         }
     }
 
-    /// Notes that a request goes to a target.
+    /// Counts a request that is placed at a target.
     pub fn start_attempt(&mut self, id: &TargetId, now: Instant) {
         if let Some(row) = self.rows.get_mut(id) {
             row.own_in_flight += 1;
-            row.own_changed(now);
+            row.record_own_in_flight(now);
         }
     }
 
-    /// Notes that a request at a target has ended. Returns whether the target was ejected.
+    /// Records the end of a request at a target. Returns whether the target was ejected or
+    /// unreachable.
     pub fn finish_attempt(&mut self, id: &TargetId, outcome: AttemptOutcome, now: Instant) -> bool {
         let Some(row) = self.rows.get_mut(id) else { return false };
         row.own_in_flight = row.own_in_flight.saturating_sub(1);
-        row.own_changed(now);
+        row.record_own_in_flight(now);
         if outcome == AttemptOutcome::Unreachable {
-            row.note_slowness(UNREACHED, now);
+            row.record_slow_first_byte(UNREACHABLE_FIRST_BYTE, now);
         }
         row.health.record(outcome, now)
     }
 
-    /// Notes that a request was sent to a target.
+    /// Records that a request was sent, so that its first byte is pending.
     pub fn record_sent(&mut self, id: &TargetId, sent_at: Instant) {
         if let Some(row) = self.rows.get_mut(id) {
-            row.awaited.push(sent_at);
+            row.pending_sent_at.push(sent_at);
         }
     }
 
-    /// Notes that the first byte of an answer came, or that it was waited for in vain until now.
+    /// Records that the first byte of an answer came, or that the wait for it timed out.
     pub fn record_first_byte(&mut self, id: &TargetId, sent_at: Instant, now: Instant) {
         if let Some(row) = self.rows.get_mut(id) {
             row.stop_awaiting(sent_at);
@@ -350,21 +376,25 @@
         }
     }
 
-    /// Notes that nobody awaits an answer any more; that says nothing of its target.
+    /// Drops a pending first byte, because nobody waits for the answer any more; says nothing about
+    /// the target.
     pub fn stop_awaiting(&mut self, id: &TargetId, sent_at: Instant) {
         if let Some(row) = self.rows.get_mut(id) {
             row.stop_awaiting(sent_at);
         }
     }
 
-    /// Where a target answers.
+    /// Address of a target.
     pub fn address(&self, id: &TargetId) -> Option<SocketAddr> {
         self.rows.get(id).map(|row| row.record.address)
     }
 
-    /// Whether the latest run under a name still takes requests by what it announced.
+    /// Whether the latest incarnation under a name accepts requests by its last announcement.
     pub fn is_ready(&self, name: &str) -> bool {
-        let current = self.current.get(name).map(|held| TargetId::new(name, *held));
+        let current = self
+            .current_incarnations
+            .get(name)
+            .map(|incarnation| TargetId::new(name, *incarnation));
         let row = current.and_then(|id| self.rows.get(&id));
         row.is_some_and(|row| row.record.state == TargetState::Ready)
     }
--- a/crates/serving/src/target_table/row.rs
+++ b/crates/serving/src/target_table/row.rs
@@ -1,4 +1,4 @@
-//! One target as an entry knows it.
+//! One target as an entry sees it.
 
 use crate::{
     health::TargetHealth,
@@ -9,237 +9,249 @@
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
 
-/// How long a target known only through a control member that restarted counts as heard. Targets
-/// announce themselves about once a second, so one that lives is announced anew well within it.
+/// How long a target counts as alive if it is known only through a control member that restarted.
+/// Targets announce themselves about once a second, so a live one announces itself well within it.
 const RESTART_GRACE: Duration = Duration::from_secs(4);
-/// Weight of the newest answer in the mean time to the first byte.
-const NEW_WEIGHT: f64 = 0.35;
-/// How long a mean time to the first byte counts without a new answer.
-const FIRST_BYTE_MEMORY: Duration = Duration::from_secs(3);
-/// How long it counts against old weights at a target that it was slow: about as long as a link
-/// stays disturbed, and longer than an entry sends nothing to a target that it finds slow.
-const SLOWNESS_MEMORY: Duration = Duration::from_secs(8);
-/// How long an entry remembers how many requests of its own a target had; longer than any sample
-/// is old.
-const OWN_MEMORY: Duration = Duration::from_secs(1);
-
-/// How busy a target was at some moment.
+/// Weight of the newest answer in the moving average of the time to the first byte.
+const FIRST_BYTE_WEIGHT: f64 = 0.35;
+/// Age of its last answer up to which the mean time to the first byte is used.
+const FIRST_BYTE_MAX_AGE: Duration = Duration::from_secs(3);
+/// Age up to which a slow first byte counts against a target with old weights and against a further
+/// attempt there: about as long as a link stays disturbed, and longer than an entry sends nothing
+/// to a target that it finds slow.
+const SLOW_FIRST_BYTE_MAX_AGE: Duration = Duration::from_secs(8);
+/// Span of [`TargetRow::own_history`]; longer than any load sample is old.
+const OWN_HISTORY_SPAN: Duration = Duration::from_secs(1);
+
+/// Load of a target at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSample {
-    /// Requests that it ran or had waiting, from all entries.
+    /// Requests that it ran or had queued, from all entries.
     pub busy: u32,
     /// Requests of this entry among them, as far as this entry knows.
     pub own: u32,
-    /// When.
+    /// When the load was measured.
     pub at: Instant,
     /// How many requests of its own this entry may have there by this sample; see
-    /// [`crate::TargetTable::set_sharers`].
-    pub granted: u32,
+    /// [`crate::TargetTable::set_entry_count`].
+    pub own_limit: u32,
 }
 
-/// What one entry may take of a target's places.
+/// Share of a target's slots that one entry may use.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EntryPart {
-    /// Requests that a target may hold, as a multiple of its places.
-    pub(super) fill: f64,
-    /// This entry's part of what is free.
-    pub(crate) share: f64,
+pub(crate) struct EntryShare {
+    /// Requests that a target may hold, as a multiple of its slots.
+    pub(super) max_fill: f64,
+    /// This entry's fraction of the free slots.
+    pub(crate) fraction: f64,
 }
 
-impl EntryPart {
-    /// How many requests of its own an entry may have at a target with so many places, of which so
-    /// many were taken, `own` of them by this entry: its own again when they end, and its part of
-    /// the free ones. Parts below one are given by chance, so that together the entries take what
-    /// is free. Of a target that holds too many each gives back alike.
-    fn granted(self, places: f64, busy: u32, own: u32) -> u32 {
+impl EntryShare {
+    /// How many requests of its own an entry may have at a target where `busy` of `slots` slots are
+    /// taken, `own` of them by this entry: as many as it has, and its share of the free ones. A
+    /// fractional limit is rounded up or down at random, so that the entries together use what is
+    /// free. At a target with too many requests every entry gives up the same fraction of its own.
+    fn own_limit(self, slots: f64, busy: u32, own: u32) -> u32 {
         let (busy, own) = (f64::from(busy), f64::from(own));
-        let granted =
-            if busy <= places { own + (places - busy) * self.share } else { own * places / busy };
-        let by_chance = f64::from(rand::random_bool(granted.fract()));
-        (granted.floor() + by_chance) as u32
+        let own_limit =
+            if busy <= slots { own + (slots - busy) * self.fraction } else { own * slots / busy };
+        let rounding = f64::from(rand::random_bool(own_limit.fract()));
+        (own_limit.floor() + rounding) as u32
     }
 }
 
-/// What one control member says about whether a target still announces itself.
+/// What one control member reports about a target's announcements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Sighting {
-    Heard,
+pub(super) enum Liveness {
+    /// The target announces itself.
+    Alive,
+    /// The announcements have stopped.
     Silent,
-    /// The member restarted and has not heard of the target since.
-    Stale(Instant),
+    /// The member restarted at this moment and has not reported the target since.
+    Unconfirmed(Instant),
 }
 
-/// One target.
+/// State of one target.
 #[derive(Debug)]
 pub(crate) struct TargetRow {
     pub(crate) record: TargetRecord,
     pub(crate) models: Vec<HeldModel>,
-    pub(super) models_at: Instant,
-    /// When this run was first heard of.
-    pub(super) known_since: Instant,
-    /// When a control member last passed it on as heard or silent.
-    pub(super) heard_at: Instant,
+    /// When the state that `models` shows was announced or reported.
+    pub(super) models_reported_at: Instant,
+    /// When this incarnation was first heard of.
+    pub(super) first_seen_at: Instant,
+    /// When the target last announced itself, as control members pass it on.
+    pub(super) last_heard_at: Instant,
+    /// Whether the engine is loading weights and accepts no request.
     pub(crate) loading: bool,
-    /// Whether its agent sees no end of its want of weights.
+    /// Whether the engine lacks wanted weights and its agent receives no more chunks of them.
     pub(crate) stalled: bool,
-    /// How long its agent says that requests are on their way over its link; zero for a usual one.
+    /// Delay of requests on the instance's link, as the agent reports it; zero unless the link is
+    /// slow.
     pub(crate) link_delay: Duration,
-    /// When the target stops being slow after its start.
+    /// End of the time after its start in which the target is slow.
     pub(crate) cold_until: Instant,
     pub(crate) own_in_flight: u32,
-    /// This entry's requests there over the last second, for samples that come late.
+    /// This entry's requests there over the last second, for load samples that arrive late.
     pub(super) own_history: VecDeque<(Instant, u32)>,
     pub(crate) load: Option<LoadSample>,
     pub(crate) health: TargetHealth,
-    /// Mean time to the first byte of an answer, and when it was last measured.
-    pub(super) first_byte: Option<(Duration, Instant)>,
-    /// The longest time to a first byte of late, and when it was seen.
-    pub(super) slowest: Option<(Duration, Instant)>,
-    /// When the requests were sent whose first byte is still awaited.
-    pub(super) awaited: Vec<Instant>,
-    pub(super) sightings: IndexMap<u32, Sighting>,
+    /// Moving average of the time to the first byte of an answer, and when it was last updated.
+    pub(super) mean_first_byte: Option<(Duration, Instant)>,
+    /// The longest recent time to the first byte, and when it was recorded.
+    pub(super) slowest_first_byte: Option<(Duration, Instant)>,
+    /// When the requests were sent whose first byte is pending.
+    pub(super) pending_sent_at: Vec<Instant>,
+    /// Liveness by control member.
+    pub(super) liveness: IndexMap<u32, Liveness>,
 }
 
 impl TargetRow {
-    pub(super) fn new(news: &TargetNews, now: Instant) -> Self {
-        let said_at = told_at(news.age_millis, now);
+    pub(super) fn new(status: &TargetNews, now: Instant) -> Self {
+        let reported_at = instant_at_age(status.age_millis, now);
         Self {
-            record: news.record.clone(),
-            models: news.record.models.clone(),
-            models_at: said_at,
-            known_since: said_at,
-            heard_at: said_at,
+            record: status.record.clone(),
+            models: status.record.models.clone(),
+            models_reported_at: reported_at,
+            first_seen_at: reported_at,
+            last_heard_at: reported_at,
             loading: false,
             stalled: false,
             link_delay: Duration::ZERO,
-            cold_until: said_at,
+            cold_until: reported_at,
             own_in_flight: 0,
             own_history: VecDeque::new(),
             load: None,
             health: TargetHealth::default(),
-            first_byte: None,
-            slowest: None,
-            awaited: Vec::new(),
-            sightings: IndexMap::new(),
+            mean_first_byte: None,
+            slowest_first_byte: None,
+            pending_sent_at: Vec::new(),
+            liveness: IndexMap::new(),
         }
     }
 
-    /// Whether every control member that can say so has stopped hearing of it.
+    /// Whether each control member that knows the target reports it as silent, or restarted more
+    /// than [`RESTART_GRACE`] ago and has not reported it since. False if none knows it.
     pub(crate) fn is_silent(&self, now: Instant) -> bool {
-        let silent = |sighting: &Sighting| match sighting {
-            Sighting::Heard => false,
-            Sighting::Silent => true,
-            Sighting::Stale(since) => now.saturating_duration_since(*since) > RESTART_GRACE,
+        let silent = |liveness: &Liveness| match liveness {
+            Liveness::Alive => false,
+            Liveness::Silent => true,
+            Liveness::Unconfirmed(since) => now.saturating_duration_since(*since) > RESTART_GRACE,
         };
-        !self.sightings.is_empty() && self.sightings.values().all(silent)
+        !self.liveness.is_empty() && self.liveness.values().all(silent)
     }
 
-    /// Takes in what an agent saw of the engine at this target's address.
+    /// Applies what an agent reports on the engine at this target's address.
     ///
-    /// Failure guarded: an engine starts again under its name, empty, and what was seen of the
-    /// former run is taken for the later one's. It would show as requests that the engine refuses
-    /// for want of weights. Where both runs are stated they must be the same; a later run at the
-    /// address means that this one holds nothing any more.
-    pub(super) fn apply_engine(&mut self, news: &EngineNews, seen_at: Instant) {
+    /// Guards against taking the state of one incarnation of an engine for that of another: an
+    /// engine that restarts under its name holds no weights, and would reject the requests sent to
+    /// it. Where both incarnations are stated they must be equal; a later one at the address means
+    /// that this one holds nothing any more.
+    pub(super) fn apply_engine(&mut self, status: &EngineNews, seen_at: Instant) {
         let own = self.record.id.incarnation;
-        let stated = own != Incarnation::UNSTATED && news.incarnation != Incarnation::UNSTATED;
-        if stated && news.incarnation < own {
+        let stated = own != Incarnation::UNSTATED && status.incarnation != Incarnation::UNSTATED;
+        if stated && status.incarnation < own {
             return;
         }
-        let replaced = stated && news.incarnation > own;
-        if seen_at >= self.models_at {
-            self.models = if replaced { Vec::new() } else { news.models.clone() };
-            self.models_at = seen_at;
+        let replaced = stated && status.incarnation > own;
+        if seen_at >= self.models_reported_at {
+            self.models = if replaced { Vec::new() } else { status.models.clone() };
+            self.models_reported_at = seen_at;
         }
-        self.loading = news.loading;
-        self.stalled = news.stalled;
-        self.link_delay = Duration::from_millis(news.link_delay_millis);
-        if news.link_delay_millis > 0 {
-            self.note_slowness(Duration::from_millis(news.link_delay_millis), seen_at);
+        self.loading = status.loading;
+        self.stalled = status.stalled;
+        self.link_delay = Duration::from_millis(status.link_delay_millis);
+        if status.link_delay_millis > 0 {
+            self.record_slow_first_byte(Duration::from_millis(status.link_delay_millis), seen_at);
         }
     }
 
-    /// Takes in the time to an answer's first byte.
+    /// Records the time to the first byte of an answer.
     pub(super) fn record_first_byte(&mut self, took: Duration, now: Instant) {
-        let mean = match self.first_byte {
-            Some((held, _)) => held.mul_f64(1.0 - NEW_WEIGHT) + took.mul_f64(NEW_WEIGHT),
+        let mean = match self.mean_first_byte {
+            Some((mean, _)) => {
+                mean.mul_f64(1.0 - FIRST_BYTE_WEIGHT) + took.mul_f64(FIRST_BYTE_WEIGHT)
+            }
             None => took,
         };
-        self.first_byte = Some((mean, now));
-        self.note_slowness(took, now);
+        self.mean_first_byte = Some((mean, now));
+        self.record_slow_first_byte(took, now);
     }
 
-    pub(super) fn note_slowness(&mut self, took: Duration, now: Instant) {
-        if self.slowest(now).is_none_or(|slowest| took >= slowest) {
-            self.slowest = Some((took, now));
+    /// Keeps a time to the first byte if it is the longest recent one.
+    pub(super) fn record_slow_first_byte(&mut self, took: Duration, now: Instant) {
+        if self.slowest_first_byte(now).is_none_or(|slowest| took >= slowest) {
+            self.slowest_first_byte = Some((took, now));
         }
     }
 
-    /// Whether an answer that a request waits for is likely to begin within `limit`: its link is not
-    /// narrowed, and no first byte of late took longer.
-    pub(crate) fn begins_within(&self, limit: Duration, now: Instant) -> bool {
-        self.link_delay.is_zero() && self.slowest(now).is_none_or(|slowest| slowest <= limit)
+    /// Whether an answer is likely to begin within `limit`: the link is not slow, and no recent
+    /// first byte took longer.
+    pub(crate) fn answers_within(&self, limit: Duration, now: Instant) -> bool {
+        self.link_delay.is_zero()
+            && self.slowest_first_byte(now).is_none_or(|slowest| slowest <= limit)
     }
 
-    /// The longest time to a first byte of late, also one that is still awaited.
-    pub(super) fn slowest(&self, now: Instant) -> Option<Duration> {
-        let fresh = |at: Instant| now.saturating_duration_since(at) < SLOWNESS_MEMORY;
-        let measured = self.slowest.filter(|(_, at)| fresh(*at)).map(|(took, _)| took);
-        measured.max(self.longest_awaited(now))
+    /// The longest recent time to the first byte, including pending ones.
+    pub(super) fn slowest_first_byte(&self, now: Instant) -> Option<Duration> {
+        let fresh = |at: Instant| now.saturating_duration_since(at) < SLOW_FIRST_BYTE_MAX_AGE;
+        let recorded = self.slowest_first_byte.filter(|(_, at)| fresh(*at)).map(|(took, _)| took);
+        recorded.max(self.longest_pending_first_byte(now))
     }
 
-    /// Mean time to the first byte, if it was measured lately. An old one is forgotten, so that a
+    /// Mean time to the first byte, if it was updated recently. An old one is dropped, so that a
     /// target that was slow is tried again.
-    pub(crate) fn first_byte(&self, now: Instant) -> Option<Duration> {
-        let (mean, at) = self.first_byte?;
-        (now.saturating_duration_since(at) < FIRST_BYTE_MEMORY).then_some(mean)
+    pub(crate) fn mean_first_byte(&self, now: Instant) -> Option<Duration> {
+        let (mean, at) = self.mean_first_byte?;
+        (now.saturating_duration_since(at) < FIRST_BYTE_MAX_AGE).then_some(mean)
     }
 
-    /// How long the request that was sent first has been waiting for its first byte.
-    pub(crate) fn longest_awaited(&self, now: Instant) -> Option<Duration> {
-        let first = self.awaited.iter().min()?;
+    /// How long the earliest request whose first byte is pending has been waiting for it.
+    pub(crate) fn longest_pending_first_byte(&self, now: Instant) -> Option<Duration> {
+        let first = self.pending_sent_at.iter().min()?;
         Some(now.saturating_duration_since(*first))
     }
 
-    /// How many requests of this entry await their first byte.
-    pub(crate) fn awaited_count(&self) -> usize {
-        self.awaited.len()
+    /// Number of requests of this entry whose first byte is pending.
+    pub(crate) fn pending_first_bytes(&self) -> usize {
+        self.pending_sent_at.len()
     }
 
     pub(super) fn stop_awaiting(&mut self, sent_at: Instant) {
-        if let Some(at) = self.awaited.iter().position(|awaited| *awaited == sent_at) {
-            self.awaited.swap_remove(at);
+        if let Some(at) = self.pending_sent_at.iter().position(|pending| *pending == sent_at) {
+            self.pending_sent_at.swap_remove(at);
         }
     }
 
-    /// Remembers how many requests of this entry are there from `now` on.
-    pub(super) fn own_changed(&mut self, now: Instant) {
+    /// Adds the current number of this entry's requests to the history.
+    pub(super) fn record_own_in_flight(&mut self, now: Instant) {
         self.own_history.push_back((now, self.own_in_flight));
         while self.own_history.len() > 1
-            && now.saturating_duration_since(self.own_history[1].0) > OWN_MEMORY
+            && now.saturating_duration_since(self.own_history[1].0) > OWN_HISTORY_SPAN
         {
             self.own_history.pop_front();
         }
     }
 
-    /// How many requests of this entry were there at some earlier moment.
-    pub(super) fn own_at(&self, moment: Instant) -> u32 {
+    /// Number of this entry's requests there at an earlier moment.
+    pub(super) fn own_in_flight_at(&self, moment: Instant) -> u32 {
         let before = self.own_history.iter().rev().find(|(at, _)| *at <= moment);
         before.map_or(0, |(_, own)| *own)
     }
 
-    /// Takes a sample in unless a later one is known. What this entry itself had there at that
-    /// moment is taken out of it, so that its own requests since are not forgotten and its earlier
-    /// ones not counted twice.
-    pub(super) fn record_load(&mut self, busy: u32, measured_at: Instant, part: EntryPart) {
-        // A sample from before this run was heard of may be the former run's at the same address.
-        if measured_at < self.known_since || self.load.is_some_and(|held| held.at > measured_at) {
+    /// Records a load sample unless a later one is known. The sample keeps apart how many of its
+    /// requests were this entry's own at that moment, so that own requests sent since then are
+    /// counted and earlier ones are not counted twice.
+    pub(super) fn record_load(&mut self, busy: u32, measured_at: Instant, share: EntryShare) {
+        // A sample from before this incarnation was heard of may be the earlier one's at the same
+        // address.
+        if measured_at < self.first_seen_at || self.load.is_some_and(|held| held.at > measured_at) {
             return;
         }
-        let own = self.own_at(measured_at);
-        let places = f64::from(self.record.slots.max(1)) * part.fill;
-        let granted = part.granted(places, busy, own);
-        self.load = Some(LoadSample { busy, own, at: measured_at, granted });
+        let own = self.own_in_flight_at(measured_at);
+        let slots = f64::from(self.record.slots.max(1)) * share.max_fill;
+        let own_limit = share.own_limit(slots, busy, own);
+        self.load = Some(LoadSample { busy, own, at: measured_at, own_limit });
     }
 
     pub(crate) fn held_version(&self, model: &ModelName) -> Option<u64> {
@@ -248,6 +260,7 @@
     }
 }
 
-pub(super) fn told_at(age_millis: u64, now: Instant) -> Instant {
+/// The moment that was `age_millis` before `now`.
+pub(super) fn instant_at_age(age_millis: u64, now: Instant) -> Instant {
     now.checked_sub(Duration::from_millis(age_millis)).unwrap_or(now)
 }
