--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -42,7 +42,7 @@
     pub late_behind: bool,
     /// Whether entries know of each other.
     pub aware: bool,
-    /// PlacementOutcome of targets.
+    /// Choice of targets.
     pub placement: PlacementPolicy,
     /// Waiting.
     pub waiting: WaitPolicy,
