--- a/tests/all/serving_tables.rs
+++ b/tests/all/serving_tables.rs
@@ -1,4 +1,4 @@
-//! Tables of targets and entries under late, lost and contradicting news.
+//! The tables of targets and entries when updates are late, lost or contradict each other.
 
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
@@ -9,7 +9,7 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-const SILENCE: Duration = Duration::from_secs(3);
+const SILENCE_LIMIT: Duration = Duration::from_secs(3);
 
 pub(crate) fn service() -> ServiceName {
     ServiceName::try_from("runners").expect("a valid name")
@@ -57,7 +57,7 @@
     table
 }
 
-/// What the agent beside a host says of its link.
+/// What the agent beside an engine reports of its instance's link.
 pub(crate) fn link_news(host: u8, link_delay_millis: u64) -> EngineNews {
     EngineNews {
         address: address(host),
@@ -70,8 +70,8 @@
     }
 }
 
-/// What a request that is not late needs; its caller stays.
-fn need<'a>(
+/// The query of a request that is not late and whose caller stays.
+fn query<'a>(
     service: &'a ServiceName,
     model: &'a ModelName,
     tried: &'a [TargetId],
@@ -81,20 +81,20 @@
 
 pub(crate) fn choose(table: &TargetTable, tried: &[TargetId], now: Instant) -> PlacementOutcome {
     let (service, model) = (service(), model());
-    table.choose(&need(&service, &model, tried), now)
+    table.choose(&query(&service, &model, tried), now)
 }
 
 pub(crate) fn id(host: u8) -> TargetId {
     TargetId::unstated(format!("i-{host}"))
 }
 
-/// What users would see: requests at a target that has left. A cut holds up an announcement; the
-/// target announces that it is draining elsewhere or leaves, and only then the old announcement
-/// arrives. It must change nothing.
+/// Guards against requests to a target that has left: an announcement is delayed by a partition and
+/// arrives after the target has announced elsewhere that it drains, or has left. It must change
+/// nothing.
 #[actix_rt::test]
-async fn stale_announcements_never_bring_a_target_back() {
+async fn stale_announcements_do_not_restore_a_target() {
     let now = Instant::now();
-    let mut registry = TargetRegistry::new(SILENCE);
+    let mut registry = TargetRegistry::new(SILENCE_LIMIT);
     assert_eq!(registry.announce(record(1, 2, TargetState::Draining), now), AnnounceOutcome::Taken);
     assert_eq!(registry.announce(record(1, 1, TargetState::Ready), now), AnnounceOutcome::Stale);
     assert_eq!(registry.announce(record(1, 3, TargetState::Ready), now), AnnounceOutcome::Stale);
@@ -102,30 +102,30 @@
     assert_eq!(registry.announce(record(1, 4, TargetState::Ready), now), AnnounceOutcome::Stale);
     assert_eq!(registry.gone_since(0), [id(1)]);
     assert_eq!(registry.live().count(), 0);
-    // A target that announced itself elsewhere only is remembered too.
+    // The removal of a target that this registry never heard of is remembered too.
     registry.remove(&id(2), now);
     assert_eq!(registry.announce(record(2, 9, TargetState::Ready), now), AnnounceOutcome::Stale);
 }
 
 #[actix_rt::test]
-async fn readers_are_told_changes_and_nothing_else() {
+async fn readers_fetch_only_changes() {
     let now = Instant::now();
-    let mut registry = TargetRegistry::new(SILENCE);
+    let mut registry = TargetRegistry::new(SILENCE_LIMIT);
     registry.announce(record(1, 1, TargetState::Ready), now);
     let seen = registry.number();
     registry.announce(record(1, 2, TargetState::Ready), now);
     assert!(registry.targets_since(seen, now).is_empty(), "only the sequence number changed");
-    let later = now + SILENCE + Duration::from_millis(1);
+    let later = now + SILENCE_LIMIT + Duration::from_millis(1);
     assert!(registry.expire(later));
     assert!(registry.targets_since(seen, later)[0].silent);
     registry.announce(record(1, 3, TargetState::Ready), later);
     assert!(!registry.targets_since(seen, later)[0].silent);
 }
 
-/// What users would see: all requests fail although every target is well. All control members are
-/// lost at once; an entry that then forgot what they told it would have no target left.
+/// Guards against the failure of all requests while every target is well: all control members are
+/// down at once, and an entry that dropped what they reported would have no target left.
 #[actix_rt::test]
-async fn targets_outlive_all_of_control() {
+async fn targets_stay_in_use_while_all_of_control_is_down() {
     let now = Instant::now();
     let mut table = table(&[1], now);
     table.apply_target(1, &news(record(1, 1, TargetState::Ready)), now);
@@ -136,11 +136,11 @@
     assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
-/// What users would see: requests at a target that crashed while a control member restarted. Its
-/// last word before the restart was that the target lives; after some seconds without an
-/// announcement that word must not count any more.
+/// Guards against requests to a target that crashed while a control member restarted. The member's
+/// last report before the restart says that the target is alive; without a new announcement that
+/// report must expire after some seconds.
 #[actix_rt::test]
-async fn the_word_of_a_restarted_member_fades() {
+async fn reports_of_a_restarted_member_expire() {
     let now = Instant::now();
     let mut table = table(&[1], now);
     table.source_restarted(0, now);
@@ -152,24 +152,28 @@
 }
 
 #[actix_rt::test]
-async fn full_targets_get_nothing_and_others_do() {
+async fn full_targets_get_no_requests_and_others_do() {
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
     table.record_load(&id(1), 4, now);
-    assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(2)), "a new target is tried");
+    assert_eq!(
+        choose(&table, &[], now),
+        PlacementOutcome::Target(id(2)),
+        "a target without a sample is tried"
+    );
     table.record_load(&id(2), 0, now);
     for _ in 0..4 {
         assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(2)));
         table.start_attempt(&id(2), now);
     }
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Full);
-    // What others do there fades, so that nobody is avoided for ever on an old word.
+    // The sample of the others' load decays, so that no target is avoided for ever on an old one.
     let later = now + Duration::from_secs(3);
     assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
 #[actix_rt::test]
-async fn a_target_that_fails_half_its_requests_rests_and_one_in_fifty_does_not() {
+async fn a_target_that_fails_half_its_requests_is_ejected_and_one_in_fifty_is_not() {
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
     for at in 0..100 {
@@ -177,26 +181,26 @@
         let outcome = if at % 50 == 49 { AttemptOutcome::Failed } else { AttemptOutcome::Answered };
         assert!(!table.finish_attempt(&id(1), outcome, now), "one in fifty must stay in service");
     }
-    let mut rested = false;
+    let mut ejected = false;
     for at in 0..12 {
         table.start_attempt(&id(2), now);
         let outcome = if at % 2 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Answered };
-        rested |= table.finish_attempt(&id(2), outcome, now);
+        ejected |= table.finish_attempt(&id(2), outcome, now);
     }
-    assert!(rested);
+    assert!(ejected);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)));
     assert_eq!(choose(&table, &[id(1)], now), PlacementOutcome::Full);
     let later = now + Duration::from_secs(7);
     assert_eq!(
         choose(&table, &[id(1)], later),
         PlacementOutcome::Target(id(2)),
-        "it is tried again"
+        "tried again after its ejection"
     );
 }
 
-/// What users would see: all callers of a zone are late, and some get no connection at all. Every
-/// entry of the zone is dark and still listed; a caller whom none of them answered asks elsewhere
-/// and must not be sent back to them.
+/// Guards against callers of a zone that are late or get no connection while every entry of the
+/// zone is unreachable but still listed. A caller to which none of them answers asks for entries of
+/// other zones and must not be sent back to these.
 #[actix_rt::test]
 async fn callers_whose_own_entries_do_not_answer_are_sent_elsewhere() {
     let entry = |run: u64, zone_name: &str| EntryRecord {
@@ -213,11 +217,11 @@
     assert_eq!(roster.addresses_elsewhere(Some("z1"), 1), [address(3)]);
 }
 
-/// What users would see: all entries of a zone send to targets that are full. The entry that passes
-/// samples of load on to the others is frozen. Each round goes to the zone's next entry, so that nine of
-/// ten rounds still reach the others, whoever is lost.
+/// Guards against requests to full targets from all entries of a zone because the entry that relays
+/// load samples to the others is frozen. Each round goes to the zone's next entry, so that nine of
+/// ten rounds still reach the others, whichever entry fails.
 #[actix_rt::test]
-async fn every_entry_of_a_zone_takes_its_turn_in_passing_loads_on() {
+async fn entries_of_a_zone_relay_load_samples_in_turn() {
     let entry = |run: u8, zone_name: &str| EntryRecord {
         name: format!("e{run}"),
         run: u64::from(run),
@@ -243,11 +247,11 @@
     assert_eq!(others, [11]);
 }
 
-/// What operators would see: control members that send megabytes when a fleet starts. A hundred and fifty
-/// entries say within 0.3 s that they are there; the list goes out a few times and not for each of them,
-/// and the last of them is in it soon.
+/// Guards against control members that send megabytes when a fleet starts: 150 entries announce
+/// themselves within 0.3 s. The roster must be sent a few times and not once per entry, and must
+/// soon include the last of them.
 #[actix_rt::test]
-async fn entries_that_start_together_are_passed_on_together() {
+async fn roster_changes_of_entries_that_start_together_are_batched() {
     let start = Instant::now();
     let tick = Duration::from_millis(50);
     let mut pace = RosterPace::default();
@@ -263,16 +267,16 @@
             last_sent = now;
         }
     }
-    assert!((2..=4).contains(&sent), "{sent} times for 150 changes");
+    assert!((2..=4).contains(&sent), "roster sent {sent} times for 150 changes");
     let last_change = start + Duration::from_millis(298);
     assert!(last_sent >= last_change && last_sent <= last_change + tick * 3);
-    assert!(!pace.take_due(start + Duration::from_secs(9)), "nothing is left to pass on");
+    assert!(!pace.take_due(start + Duration::from_secs(9)), "no change is pending");
 }
 
-/// What users would see: callers are sent to an entry that has stopped. One control member has not
-/// heard of its stopping yet and still lists it as ready; the member that has must win.
+/// Guards against callers that are sent to an entry which has stopped: one control member has not
+/// learned of that yet and still lists the entry as ready. The member that has must win.
 #[actix_rt::test]
-async fn a_stopping_entry_is_not_listed_whoever_lists_it() {
+async fn a_stopping_entry_is_not_listed_though_a_member_lists_it_as_ready() {
     let entry = |name: &str, run, ready, zone_name: &str| EntryRecord {
         name: name.to_owned(),
         run,
@@ -286,7 +290,7 @@
     let now = Instant::now();
     for rosters in [[&behind, &ahead], [&ahead, &behind]] {
         let merged = EntryRoster::merged(rosters.into_iter(), now);
-        // One entry alone in the zone is not enough, so the other zone's are listed with it.
+        // A single entry in the zone is not enough, so the other zone's entries are listed too.
         let mut listed = merged.addresses(Some("z1"), 64);
         listed.sort();
         assert_eq!(listed, [address(2), address(3)]);
@@ -295,7 +299,7 @@
 }
 
 #[actix_rt::test]
-async fn when_most_targets_fail_none_is_left_out() {
+async fn ejections_are_ignored_when_most_targets_fail() {
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for host in [1, 2, 3] {
@@ -307,37 +311,40 @@
     assert!(matches!(choose(&table, &[], now), PlacementOutcome::Target(_)));
 }
 
-/// What users would see: dozens of late answers for each engine that freezes. It takes requests and
-/// says nothing; each is waited for 1.6 s before it goes elsewhere, and meanwhile others follow it.
-/// A request that has waited several times as long as usual must keep the next ones away, and no
-/// longer than until it is answered or given up.
+/// Guards against dozens of late answers for each engine that freezes: it accepts requests and
+/// sends nothing, each request times out after 1.6 s, and others follow meanwhile. A first byte
+/// that is pending several times as long as the median must keep further requests away until it
+/// arrives or is no longer awaited.
 #[actix_rt::test]
 async fn a_target_that_hangs_is_left_before_anybody_gave_up() {
     let start = Instant::now();
     let mut table = table(&[1, 2, 3, 4], start);
-    let usual = Duration::from_millis(120);
+    let median = Duration::from_millis(120);
     for host in 1..=4 {
-        table.record_first_byte(&id(host), start - usual, start);
+        table.record_first_byte(&id(host), start - median, start);
     }
     table.record_sent(&id(1), start);
     let hits = |table: &TargetTable, now| {
         (0..400).filter(|_| choose(table, &[], now) == PlacementOutcome::Target(id(1))).count()
     };
-    let early = hits(&table, start + usual);
-    assert!((50..150).contains(&early), "nothing to be said yet: {early} of 400");
+    let early = hits(&table, start + median);
+    assert!((50..150).contains(&early), "not late yet: {early} of 400 requests at the target");
     let later = start + Duration::from_millis(600);
     let late = hits(&table, later);
-    assert!(late < 10, "{late} of 400 at the one that hangs");
+    assert!(late < 10, "{late} of 400 requests at the target that hangs");
     table.stop_awaiting(&id(1), start);
     let left = hits(&table, later);
-    assert!((50..150).contains(&left), "its caller left, which is not its fault: {left} of 400");
+    assert!(
+        (50..150).contains(&left),
+        "its caller left, which says nothing of the target: {left} of 400 requests at it"
+    );
 }
 
-/// What users would see: every seventh answer takes seconds. One target works slowly, or its link
-/// is full; its answers come, so it does not fail. It must get far less than its part, and be tried
-/// again when nothing was heard of it for a while.
+/// Guards against a target that answers one in seven requests after seconds, because it works
+/// slowly or its link is full; its answers come, so it does not fail. It must get far less than its
+/// share, and be tried again when there was no answer from it for a while.
 #[actix_rt::test]
-async fn slow_targets_get_less() {
+async fn slow_targets_get_fewer_requests() {
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for (host, millis) in [(1, 120), (2, 150), (3, 1_500)] {
@@ -346,15 +353,15 @@
     let drawn = |now| {
         (0..600).filter(|_| choose(&table, &[], now) == PlacementOutcome::Target(id(3))).count()
     };
-    assert!(drawn(now) < 40, "{} of 600", drawn(now));
+    assert!(drawn(now) < 40, "{} of 600 requests at the slow target", drawn(now));
     assert!(drawn(now + Duration::from_secs(4)) > 120);
 }
 
-/// What users would see: answers in seconds while most targets idle. Many entries have the same view
-/// of the targets, a third of a second old, and all send to the target that looks emptiest. Drawn by
-/// the free places, no target may get much more than it has room for.
+/// Guards against answers that take seconds while most targets idle: many entries have the same
+/// view of the targets, a third of a second old, and all send to the target that looks emptiest.
+/// With targets drawn by their free slots, none may get many more requests than it has room for.
 #[actix_rt::test]
-async fn entries_with_the_same_old_view_do_not_flood_a_target() {
+async fn entries_with_the_same_stale_view_do_not_flood_a_target() {
     const ENTRIES: usize = 16;
     const TARGETS: u8 = 20;
     let now = Instant::now();
@@ -370,42 +377,47 @@
     for round in 0..24 {
         let entry = &mut entries[round % ENTRIES];
         let PlacementOutcome::Target(target) = choose(entry, &[], now) else {
-            panic!("there is room")
+            panic!("no target chosen although slots are free")
         };
         entry.start_attempt(&target, now);
-        let host: usize = target.name.trim_start_matches("i-").parse().expect("a number");
+        let host: usize =
+            target.name.trim_start_matches("i-").parse().expect("the host number in the name");
         arrivals[host] += 1;
     }
     let flooded = arrivals[1].max(arrivals[2]);
-    assert!(flooded <= 13, "{flooded} of 24 requests went to a target with 4 places: {arrivals:?}");
+    assert!(flooded <= 13, "{flooded} of 24 requests went to a target with 4 slots: {arrivals:?}");
 }
 
-/// What operators would see: targets at work for callers that have left. A target does not answer, the
-/// request goes to another one whose agent reports a narrow link, arrives there two seconds later and
-/// is run for nobody. A further attempt goes only where an answer is likely to begin before the caller
-/// leaves; where the caller stays it may go to the last one left.
+/// Guards against targets that work for callers which have left: a target does not answer, and the
+/// request goes to another one whose agent reports a slow link, where it arrives two seconds later.
+/// A further attempt goes only where an answer is likely to begin before the caller leaves; if the
+/// caller stays, it may go to the last target that is left.
 #[actix_rt::test]
 async fn a_further_attempt_is_not_sent_over_a_narrow_link() {
     let now = Instant::now();
     let mut table = table(&[1, 2], now);
     let (service, model, tried) = (service(), model(), [id(1)]);
-    let leaves = now + Duration::from_millis(500);
+    let deadline = now + Duration::from_millis(500);
     let further =
-        PlacementQuery { first_byte_deadline: Some(leaves), ..need(&service, &model, &tried) };
+        PlacementQuery { first_byte_deadline: Some(deadline), ..query(&service, &model, &tried) };
     assert_eq!(table.choose(&further, now), PlacementOutcome::Target(id(2)));
 
     table.apply_engine(&link_news(2, 500), now);
     assert_eq!(table.choose(&further, now), PlacementOutcome::Full);
-    assert_eq!(choose(&table, &tried, now), PlacementOutcome::Target(id(2)), "its caller stays");
+    assert_eq!(
+        choose(&table, &tried, now),
+        PlacementOutcome::Target(id(2)),
+        "no deadline, since the caller stays"
+    );
     table.apply_engine(&link_news(2, 0), now);
 
     table.record_first_byte(&id(2), now - Duration::from_millis(700), now);
     assert_eq!(
         table.choose(&further, now),
         PlacementOutcome::Full,
-        "its answers begin after the caller left"
+        "its answers begin after the caller has left"
     );
-    let patient =
+    let later_deadline =
         PlacementQuery { first_byte_deadline: Some(now + Duration::from_secs(1)), ..further };
-    assert_eq!(table.choose(&patient, now), PlacementOutcome::Target(id(2)));
+    assert_eq!(table.choose(&later_deadline, now), PlacementOutcome::Target(id(2)));
 }
