--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,54 +1,54 @@
-//! What the entries, control and agents of a fleet without gates believe, and what they decide.
+//! State and decision logic of the entries, control members and agents of a fleet without gates.
 //!
-//! Free of I/O; time comes in as an argument. The tables:
+//! Free of I/O; the current time is passed in as an argument. The main types:
 //!
-//! - [`ServingConfig`]: the configuration that operators replace as a whole, checked once by
-//!   [`ServingConfig::try_from`]; [`RouteTable`] finds the route and the organisation of a request.
-//! - [`ConfigHolder`]: the configuration in force at an entry, and what it asks control for.
-//! - [`TargetRegistry`]: at control, what targets announce of themselves, with numbered changes so
-//!   that readers fetch only news.
-//! - [`TargetTable`]: at an entry, the merged news of all control members, beside what the entry's
-//!   own requests showed; [`TargetTable::choose`] places a request.
-//! - [`WaitQueue`]: where requests wait for a place, and when they are rejected instead.
+//! - [`ServingConfig`]: the configuration, which operators replace as a whole and which
+//!   [`ServingConfig::try_from`] validates once; [`RouteTable`] looks up the route and the
+//!   organisation of a request.
+//! - [`ConfigHolder`]: the configuration in force at an entry, and what the entry requests from
+//!   control.
+//! - [`TargetRegistry`]: at control, the announcements of targets, with numbered changes so that
+//!   readers fetch only what they have not seen.
+//! - [`TargetTable`]: at an entry, the merged updates of all control members and the outcomes of
+//!   the entry's own requests; [`TargetTable::choose`] places a request.
+//! - [`WaitQueue`]: requests that wait for a slot, and when they are rejected instead.
 //! - [`PeerList`]: at control, the agents that exchange chunks, with numbered changes.
 //! - [`RetryDetector`]: how long a caller has been trying.
-//! - [`AttemptLimits`]: how long attempts and waits may take before the caller leaves.
-//! - [`RetryBudget`]: the entry's part of the repeats that a service may get.
+//! - [`AttemptLimits`]: deadlines of attempts and waits, set before the caller disconnects.
+//! - [`RetryBudget`]: the entry's share of a service's retry budget.
+//! - [`RosterBatcher`]: when a changed list of entries is sent.
 //! - [`EntryRoster`]: which entries callers may be sent to.
-//! - [`SwitchSchedule`]: when an instance may take new weights, so that not all do so at once.
+//! - [`SwitchSchedule`]: when an instance may load new weights, so that not all do so at once.
+//! - [`OlderVersionPolicy`]: when an instance loads a superseded version.
 
 mod attempt_limits;
 mod config;
 mod config_holder;
 mod entries;
 mod health;
-mod news;
 mod peer_list;
 mod placement;
 mod raw;
 mod registry;
 mod retry_budget;
 mod retry_detector;
-mod roster_pace;
+mod roster_batcher;
 mod route_table;
+mod status;
 mod switch_schedule;
 mod target_table;
 mod wait_queue;
 
 pub use crate::{
-    attempt_limits::{AttemptLimits, USUAL_STAY},
+    attempt_limits::{AttemptLimits, DEFAULT_STREAM_IDLE_TIMEOUT},
     config::{
         CallerLimits, Destination, EngineRecord, OrganisationRecord, OriginRecord, RouteKind,
         RouteRecord, ServiceRecord, ServingConfig,
     },
-    config_holder::{ConfigHolder, ConfigWish, TakeError},
-    entries::{EntryRoster, EntrySighting},
+    config_holder::{ConfigApplyError, ConfigHolder, ConfigRequest},
+    entries::{EntryObservation, EntryRoster},
     health::{AttemptOutcome, TargetHealth},
-    news::{
-        EngineNews, EntryRecord, HeldModel, Incarnation, NamedVersion, TargetId, TargetNews,
-        TargetRecord, TargetState,
-    },
-    peer_list::{PeerList, PeerMap, PeerUpdate, SwarmPeer, apply_peers},
+    peer_list::{PeerList, PeerMap, PeerUpdate, SwarmPeer, apply_peer_updates},
     placement::{PlacementOutcome, PlacementPolicy, PlacementQuery},
     raw::{
         ConfigError, RawDestination, RawEngine, RawLimits, RawOrganisation, RawOrigin, RawRoute,
@@ -57,9 +57,13 @@
     registry::{AnnounceOutcome, LeaveOutcome, TargetRegistry},
     retry_budget::{RetryBudget, RetryPolicy},
     retry_detector::RetryDetector,
-    roster_pace::RosterPace,
+    roster_batcher::RosterBatcher,
     route_table::{AccessError, KeyHolder, RouteTable},
-    switch_schedule::{OlderVersionUse, OlderVersionView, SwitchSchedule, SwitchTiming},
+    status::{
+        EngineStatus, EntryRecord, HeldModel, Incarnation, PublishedVersion, TargetId,
+        TargetRecord, TargetState, TargetStatus,
+    },
+    switch_schedule::{OlderVersionPolicy, OlderVersionState, SwitchSchedule, SwitchTiming},
     target_table::{LoadSample, TargetTable},
     wait_queue::{WaitPolicy, WaitQueue, WaitTicket, WaitUrgency},
 };
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -7,7 +7,7 @@
 //! samples the estimate of the other entries' load at a target decays to the mean of the service.
 
 use crate::{
-    news::{TargetId, TargetState},
+    status::{TargetId, TargetState},
     target_table::{TargetRow, TargetTable},
 };
 use egretseam_proto::{ModelName, ServiceName};
--- a/crates/serving/src/target_table.rs
+++ b/crates/serving/src/target_table.rs
@@ -10,8 +10,8 @@
 use self::row::{Liveness, instant_at_age};
 use crate::{
     health::AttemptOutcome,
-    news::{EngineNews, Incarnation, NamedVersion, TargetId, TargetNews, TargetState},
     placement::PlacementPolicy,
+    status::{EngineStatus, Incarnation, PublishedVersion, TargetId, TargetState, TargetStatus},
 };
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use indexmap::IndexMap;
@@ -58,7 +58,7 @@
     current_incarnations: IndexMap<String, Incarnation>,
     /// The last incarnation under a name that was removed, and when this entry learned of it.
     tombstones: IndexMap<String, (Incarnation, Instant)>,
-    engine_statuses: IndexMap<SocketAddr, (EngineNews, Instant)>,
+    engine_statuses: IndexMap<SocketAddr, (EngineStatus, Instant)>,
     /// Targets by their address, which load samples and reports on engines name: two thousand
     /// samples a second at 184 targets. Recording one takes 0.13 us at 1,000 targets, and 1.07 us
     /// if all rows are searched (`egretseam-bench slopes`).
@@ -102,7 +102,7 @@
 
     /// Applies a target's status as control member `source` passes it on. An announcement older
     /// than the known one changes only the target's liveness.
-    pub fn apply_target(&mut self, source: u32, status: &TargetNews, now: Instant) {
+    pub fn apply_target(&mut self, source: u32, status: &TargetStatus, now: Instant) {
         let id = &status.record.id;
         if self.is_superseded(id, now) {
             return;
@@ -156,7 +156,7 @@
 
     /// Inserts the row of an incarnation and removes that of any other one under its name, with all
     /// that was learned of it.
-    fn insert_row(&mut self, status: &TargetNews, now: Instant) {
+    fn insert_row(&mut self, status: &TargetStatus, now: Instant) {
         let id = &status.record.id;
         if let Some(former) = self.current_incarnations.get(&id.name).copied() {
             self.remove_row(&TargetId::new(&id.name, former));
@@ -173,7 +173,7 @@
     }
 
     /// Applies what an agent reports on its engine.
-    pub fn apply_engine(&mut self, status: &EngineNews, now: Instant) {
+    pub fn apply_engine(&mut self, status: &EngineStatus, now: Instant) {
         let seen_at = instant_at_age(status.age_millis, now);
         if self.engine_statuses.get(&status.address).is_some_and(|(_, held_at)| *held_at > seen_at)
         {
@@ -183,7 +183,7 @@
         self.update_engine_rows(status, seen_at);
     }
 
-    fn update_engine_rows(&mut self, status: &EngineNews, seen_at: Instant) {
+    fn update_engine_rows(&mut self, status: &EngineStatus, seen_at: Instant) {
         for id in self.by_address.get(&status.address).into_iter().flatten() {
             if let Some(row) = self.rows.get_mut(id) {
                 row.apply_engine(status, seen_at);
@@ -263,7 +263,7 @@
 
     /// Applies a named version: from `limit` after it was named no request may start on an older
     /// one.
-    pub fn apply_version(&mut self, named: &NamedVersion, limit: Duration, now: Instant) {
+    pub fn apply_version(&mut self, named: &PublishedVersion, limit: Duration, now: Instant) {
         let floors = self.version_floors.entry(named.model.clone()).or_default();
         if floors.iter().any(|floor| floor.version == named.version) {
             return;
--- a/crates/serving/src/target_table/row.rs
+++ b/crates/serving/src/target_table/row.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     health::TargetHealth,
-    news::{EngineNews, HeldModel, Incarnation, TargetNews, TargetRecord},
+    status::{EngineStatus, HeldModel, Incarnation, TargetRecord, TargetStatus},
 };
 use egretseam_proto::ModelName;
 use indexmap::IndexMap;
@@ -107,7 +107,7 @@
 }
 
 impl TargetRow {
-    pub(super) fn new(status: &TargetNews, now: Instant) -> Self {
+    pub(super) fn new(status: &TargetStatus, now: Instant) -> Self {
         let reported_at = instant_at_age(status.age_millis, now);
         Self {
             record: status.record.clone(),
@@ -147,7 +147,7 @@
     /// engine that restarts under its name holds no weights, and would reject the requests sent to
     /// it. Where both incarnations are stated they must be equal; a later one at the address means
     /// that this one holds nothing any more.
-    pub(super) fn apply_engine(&mut self, status: &EngineNews, seen_at: Instant) {
+    pub(super) fn apply_engine(&mut self, status: &EngineStatus, seen_at: Instant) {
         let own = self.record.id.incarnation;
         let stated = own != Incarnation::UNSTATED && status.incarnation != Incarnation::UNSTATED;
         if stated && status.incarnation < own {
--- a/crates/stager/src/fencing.rs
+++ b/crates/stager/src/fencing.rs
@@ -4,7 +4,7 @@
 //! token counts. Engines that hold nothing cannot be fenced so.
 
 use crate::{
-    dialect::{EngineReport, OrderOutcome, WeightsOrder},
+    dialect::{EngineReport, LoadOrder, OrderOutcome},
     shared::StagerShared,
     switch::ORDER_PAUSE,
 };
@@ -33,7 +33,7 @@
 /// them, for then former orders may have none.
 pub(crate) async fn shut_out_former(shared: &StagerShared, model: &ModelName) -> bool {
     for _ in 0..MOST_TRIES {
-        let probe = shared.fence.borrow_mut().next_probe();
+        let probe = shared.fence.borrow_mut().next_probe_token();
         match order_held(shared, model, probe).await {
             FenceReply::FencedOff => return raise(shared, model).await,
             FenceReply::Passed | FenceReply::HoldsNothing => return false,
@@ -51,18 +51,18 @@
 /// the fence before it orders anything else, the later one finds out and goes beyond.
 pub(crate) async fn raise(shared: &StagerShared, model: &ModelName) -> bool {
     for _ in 0..MOST_TRIES {
-        if !shared.fence.borrow().is_due(Instant::now()) {
+        if !shared.fence.borrow().is_raise_due(Instant::now()) {
             return shared.fence.borrow().is_raised();
         }
         let token = shared.fence.borrow_mut().next_token();
         match order_held(shared, model, token).await {
             FenceReply::Passed => {
                 tracing::info!(token, "the engine refuses orders of former agents");
-                shared.fence.borrow_mut().note_accepted();
+                shared.fence.borrow_mut().record_accepted();
             }
             FenceReply::FencedOff => {
                 tracing::info!(token, "the engine has accepted a higher fencing token");
-                shared.fence.borrow_mut().note_fenced_off();
+                shared.fence.borrow_mut().record_fencing_rejection();
             }
             FenceReply::HoldsNothing => return false,
             FenceReply::Unclear => tokio::time::sleep(ORDER_PAUSE).await,
@@ -70,7 +70,7 @@
     }
     let is_raised = shared.fence.borrow().is_raised();
     if !is_raised {
-        shared.fence.borrow_mut().note_failed(Instant::now());
+        shared.fence.borrow_mut().record_raise_failure(Instant::now());
     }
     is_raised
 }
@@ -81,10 +81,10 @@
 /// takes whatever is staged for the version named. It shows as answers from mixed weights. Report
 /// and order go over one connection, which ends with the engine's run, and an order of another
 /// agent that it has begun meanwhile is told by its count.
-async fn order_held(shared: &StagerShared, model: &ModelName, fence: u64) -> FenceReply {
+async fn order_held(shared: &StagerShared, model: &ModelName, fencing_token: u64) -> FenceReply {
     let mut engine = shared.lock_engine().await;
-    let report = match engine.call(&shared.dialect.report()).await {
-        Ok(reply) if reply.status == 200 => shared.dialect.read_report(&reply.body),
+    let report = match engine.call(&shared.dialect.report_request()).await {
+        Ok(reply) if reply.status == 200 => shared.dialect.parse_report(&reply.body),
         Ok(reply) => Err(format!("status {}", reply.status)),
         Err(error) => Err(error.to_string()),
     };
@@ -99,20 +99,24 @@
         return FenceReply::Unclear;
     }
     let Some(version) = held_version(&report, model) else { return FenceReply::HoldsNothing };
-    let begun_before = report.orders_begun;
-    let order = WeightsOrder { model, version, cut: false, begun_before, fence };
+    let expected_orders_begun = report.orders_begun;
+    let order = LoadOrder { model, version, preempt: false, expected_orders_begun, fencing_token };
     shared.metrics.orders.inc();
-    match engine.order_kept(&shared.dialect.order(&order)).await {
-        Ok(reply) if shared.dialect.is_fenced_off(reply.status) => FenceReply::FencedOff,
-        Ok(reply) if shared.dialect.read_order(reply.status) == OrderOutcome::Accepted => {
+    match engine.order_on_same_connection(&shared.dialect.order_request(&order)).await {
+        Ok(reply) if shared.dialect.is_fencing_rejection(reply.status) => FenceReply::FencedOff,
+        Ok(reply) if shared.dialect.order_outcome(reply.status) == OrderOutcome::Accepted => {
             FenceReply::Passed
         }
         Ok(reply) => {
-            tracing::info!(status = reply.status, fence, "the engine's fence was not raised");
+            tracing::info!(
+                status = reply.status,
+                fence = fencing_token,
+                "the engine's fence was not raised"
+            );
             FenceReply::Unclear
         }
         Err(error) => {
-            tracing::info!(%error, fence, "the engine's fence may not be raised");
+            tracing::info!(%error, fence = fencing_token, "the engine's fence may not be raised");
             FenceReply::Unclear
         }
     }
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -4,8 +4,8 @@
 use crate::batch_engine::{BatchEngine, EngineEvent, EngineModel};
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
-    AttemptOutcome, EngineNews, HeldModel, Incarnation, PlacementOutcome, PlacementPolicy,
-    PlacementQuery, TargetId, TargetNews, TargetRecord, TargetState, TargetTable, WaitPolicy,
+    AttemptOutcome, EngineStatus, HeldModel, Incarnation, PlacementOutcome, PlacementPolicy,
+    PlacementQuery, TargetId, TargetRecord, TargetState, TargetStatus, TargetTable, WaitPolicy,
     WaitQueue, WaitUrgency,
 };
 use indexmap::{IndexMap, IndexSet};
@@ -143,7 +143,7 @@
             }
             for number in 0..script.engines {
                 let record = target_record(number, &script, &service, &model, &zone);
-                table.apply_target(0, &TargetNews { record, silent: false, age_millis: 0 }, now);
+                table.apply_target(0, &TargetStatus { record, silent: false, age_millis: 0 }, now);
             }
             LoadEntry { table, queue: WaitQueue::new(script.waiting) }
         };
@@ -199,7 +199,7 @@
         self.in_outage = in_outage;
         let held = HeldModel { model: self.model.clone(), version: 1 };
         for number in 0..self.engines.len() {
-            let news = EngineNews {
+            let news = EngineStatus {
                 address: address(number),
                 incarnation: Incarnation::UNSTATED,
                 models: vec![held.clone()],
--- a/tests/all/waiting.rs
+++ b/tests/all/waiting.rs
@@ -351,7 +351,7 @@
             let now = start + Duration::from_millis(tick * 100);
             for (budget, load) in budgets.iter_mut().zip(&loads) {
                 for _ in 0..load / 10 {
-                    budget.note_request(now);
+                    budget.record_request(now);
                     events.push((tick, false));
                     // Every request fails and asks for a retry.
                     if budget.spend(entries, now) {
