--- a/crates/serving/src/target_table.rs
+++ b/crates/serving/src/target_table.rs
@@ -18,22 +18,22 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// How long the table keeps a removed target's tombstone and the row of a target that is silent;
-/// see the registry's limit of the same kind.
+/// How long the table keeps the tombstone of a removed target and the row of a silent one; the same
+/// as the registry's retention.
 const TARGET_RETENTION: Duration = Duration::from_secs(60);
 /// How long a silent incarnation still keeps out earlier ones under its name. Control members do so
 /// for ten seconds longer, so that what they pass on afterwards is accepted here at once.
 const SILENT_RETENTION: Duration = Duration::from_secs(50);
 
-/// Longest time after its announcement for which a target counts as cold, whatever it announces.
+/// Longest time after an announcement for which a target counts as cold, whatever it announces.
 const MAX_COLD_START: Duration = Duration::from_secs(600);
 
-/// Least time to the first byte that is assumed when predicting when a request starts.
+/// Least time to the first byte that is assumed in the prediction of when a request starts.
 const MIN_ASSUMED_FIRST_BYTE: Duration = Duration::from_millis(300);
 /// How many times the mean time to the first byte a request may take to start: waits in a full
 /// engine spread to about twice their mean.
 const START_WAIT_FACTOR: u32 = 2;
-/// Multiple of its service's median first byte above which a target's counts as slow.
+/// A first byte is slow if it took more than this multiple of the median of its service.
 const SLOW_FACTOR: u32 = 3;
 /// Time to the first byte that is recorded for a request whose connection could not be opened in
 /// time.
@@ -261,15 +261,20 @@
         }
     }
 
-    /// Applies a named version: from `limit` after it was named no request may start on an older
-    /// one.
-    pub fn apply_version(&mut self, named: &PublishedVersion, limit: Duration, now: Instant) {
-        let floors = self.version_floors.entry(named.model.clone()).or_default();
-        if floors.iter().any(|floor| floor.version == named.version) {
+    /// Applies a published version: from `staleness_bound` after its publication no request may
+    /// start on an older one.
+    pub fn apply_version(
+        &mut self,
+        published: &PublishedVersion,
+        staleness_bound: Duration,
+        now: Instant,
+    ) {
+        let floors = self.version_floors.entry(published.model.clone()).or_default();
+        if floors.iter().any(|floor| floor.version == published.version) {
             return;
         }
-        let enforced_at = instant_at_age(named.age_millis, now) + limit;
-        floors.push(VersionFloor { version: named.version, enforced_at });
+        let enforced_at = instant_at_age(published.age_millis, now) + staleness_bound;
+        floors.push(VersionFloor { version: published.version, enforced_at });
         if floors.len() > 8 {
             floors.remove(0);
         }
@@ -282,8 +287,8 @@
         enforced.map(|floor| floor.version).max().unwrap_or(0)
     }
 
-    /// By when a request sent to a target must start there, if the use of the target's weights is
-    /// to end; `None` if no newer version was named.
+    /// When requests must have started at a target, because its weights may not be used after that;
+    /// `None` if no newer version was published.
     pub fn start_deadline(&self, id: &TargetId, model: &ModelName) -> Option<Instant> {
         let held = self.rows.get(id)?.held_version(model)?;
         let newer = self.version_floors.get(model)?.iter().filter(|floor| floor.version > held);
@@ -292,10 +297,10 @@
 
     /// Whether a request sent to a target now starts there on a version that is still allowed.
     ///
-    /// Guards against requests that start on old weights after the bound. Once the bound has
-    /// passed, a target that is not known to hold the named version or a later one gets no request.
-    /// Since a request waits in a full engine before it starts, a target with old weights is
-    /// excluded earlier, by a multiple of its mean time to the first byte.
+    /// Guards against requests that start on old weights after the staleness bound. Once the bound
+    /// has passed, a target that is not known to hold the published version or a later one gets no
+    /// request. Since a request waits in a full engine before it starts, a target with old weights
+    /// is excluded earlier, by a multiple of its mean time to the first byte.
     ///
     /// A target that was recently much slower than the median of its service is excluded earlier
     /// still, even if it got no request since, and so is one whose agent reports a slow link: on a
--- a/tests/all/incarnations.rs
+++ b/tests/all/incarnations.rs
@@ -1,6 +1,6 @@
 //! Targets that restart under the same name, at control members and at entries.
 
-use crate::serving_tables::{choose, held, news};
+use crate::serving_tables::{choose, held, status};
 use egretseam_proto::{ServiceName, ZoneName};
 use egretseam_serving::{
     AnnounceOutcome, AttemptOutcome, EngineStatus, Incarnation, LeaveOutcome, PlacementOutcome,
@@ -111,14 +111,14 @@
 async fn nothing_is_carried_over_to_a_new_incarnation() {
     let now = Instant::now();
     let mut table = empty_table();
-    table.apply_target(0, &news(ready(incarnation(1), 7)), now);
+    table.apply_target(0, &status(ready(incarnation(1), 7)), now);
     for _ in 0..4 {
         table.start_attempt(&id(incarnation(1)), now);
     }
     table.record_load(&id(incarnation(1)), 4, now);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Full);
     let later = now + Duration::from_secs(2);
-    table.apply_target(0, &news(ready(incarnation(2), 1)), later);
+    table.apply_target(0, &status(ready(incarnation(2), 1)), later);
     assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(incarnation(2))));
     // The previous incarnation's requests end; this frees no slot of the new one and does not count
     // as its failure.
@@ -150,12 +150,12 @@
         link_delay_millis: 0,
         age_millis: 0,
     };
-    table.apply_target(0, &news(ready(incarnation(1), 1)), now);
+    table.apply_target(0, &status(ready(incarnation(1), 1)), now);
     // The agent observes the restart of the engine before the engine announces itself.
     table.apply_engine(&engine(incarnation(2), Vec::new()), now);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::NoTarget);
     let empty = TargetRecord { models: Vec::new(), ..ready(incarnation(2), 1) };
-    table.apply_target(0, &news(empty), now);
+    table.apply_target(0, &status(empty), now);
     table.apply_engine(&engine(incarnation(1), held(1)), now);
     assert_eq!(
         choose(&table, &[], now),
@@ -199,7 +199,7 @@
     let now = Instant::now();
     let mut table = empty_table();
     let slow = TargetRecord { cold_millis: u64::MAX, ..ready(incarnation(1), 1) };
-    table.apply_target(0, &news(slow), now);
+    table.apply_target(0, &status(slow), now);
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(incarnation(1))));
 }
 
--- a/tests/all/narrow_links.rs
+++ b/tests/all/narrow_links.rs
@@ -1,6 +1,6 @@
 //! What an instance makes of its own link when it narrows.
 
-use crate::serving_tables::{choose, id, link_news, table};
+use crate::serving_tables::{choose, id, link_status, table};
 use egretseam_serving::PlacementOutcome;
 use egretseam_swarm::LinkMonitor;
 use std::{collections::VecDeque, time::Duration};
@@ -72,7 +72,7 @@
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for host in [1, 2] {
-        table.apply_engine(&link_news(host, 1_000), now);
+        table.apply_engine(&link_status(host, 1_000), now);
     }
     for _ in 0..50 {
         assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(3)));
@@ -83,12 +83,12 @@
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Full, "a place is waited for");
     let retried = choose(&table, &[id(3)], now);
     assert!(matches!(retried, PlacementOutcome::Target(_)), "nothing better is left to it");
-    table.apply_engine(&link_news(3, 1_000), now);
+    table.apply_engine(&link_status(3, 1_000), now);
     assert!(
         matches!(choose(&table, &[], now), PlacementOutcome::Target(_)),
         "there is nothing better"
     );
-    table.apply_engine(&link_news(1, 0), now);
+    table.apply_engine(&link_status(1, 0), now);
     for _ in 0..50 {
         assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)), "it has widened");
     }
--- a/tests/all/serving_tables.rs
+++ b/tests/all/serving_tables.rs
@@ -45,20 +45,20 @@
     }
 }
 
-pub(crate) fn news(record: TargetRecord) -> TargetStatus {
+pub(crate) fn status(record: TargetRecord) -> TargetStatus {
     TargetStatus { record, silent: false, age_millis: 0 }
 }
 
 pub(crate) fn table(hosts: &[u8], now: Instant) -> TargetTable {
     let mut table = TargetTable::new(PlacementPolicy::default(), zone("z1"));
     for host in hosts {
-        table.apply_target(0, &news(record(*host, 1, TargetState::Ready)), now);
+        table.apply_target(0, &status(record(*host, 1, TargetState::Ready)), now);
     }
     table
 }
 
 /// What the agent beside an engine reports of its instance's link.
-pub(crate) fn link_news(host: u8, link_delay_millis: u64) -> EngineStatus {
+pub(crate) fn link_status(host: u8, link_delay_millis: u64) -> EngineStatus {
     EngineStatus {
         address: address(host),
         incarnation: Incarnation::UNSTATED,
@@ -131,7 +131,7 @@
 async fn targets_stay_in_use_while_all_of_control_is_down() {
     let now = Instant::now();
     let mut table = table(&[1], now);
-    table.apply_target(1, &news(record(1, 1, TargetState::Ready)), now);
+    table.apply_target(1, &status(record(1, 1, TargetState::Ready)), now);
     table.source_lost(0);
     table.source_lost(1);
     let later = now + Duration::from_secs(600);
@@ -150,7 +150,7 @@
     assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(1)));
     let later = now + Duration::from_secs(5);
     assert_eq!(choose(&table, &[], later), PlacementOutcome::NoTarget);
-    table.apply_target(0, &news(record(1, 2, TargetState::Ready)), later);
+    table.apply_target(0, &status(record(1, 2, TargetState::Ready)), later);
     assert_eq!(choose(&table, &[], later), PlacementOutcome::Target(id(1)));
 }
 
@@ -257,15 +257,15 @@
 async fn roster_changes_of_entries_that_start_together_are_batched() {
     let start = Instant::now();
     let tick = Duration::from_millis(50);
-    let mut pace = RosterBatcher::default();
+    let mut batcher = RosterBatcher::default();
     let (mut sent, mut last_sent) = (0, start);
     for millis in 0..600 {
         let now = start + Duration::from_millis(millis);
         if millis < 300 && millis % 2 == 0 {
-            pace.record_change(now);
+            batcher.record_change(now);
         }
         let is_tick = Duration::from_millis(millis % 50).is_zero();
-        if is_tick && pace.take_due(now) {
+        if is_tick && batcher.take_due(now) {
             sent += 1;
             last_sent = now;
         }
@@ -273,7 +273,7 @@
     assert!((2..=4).contains(&sent), "roster sent {sent} times for 150 changes");
     let last_change = start + Duration::from_millis(298);
     assert!(last_sent >= last_change && last_sent <= last_change + tick * 3);
-    assert!(!pace.take_due(start + Duration::from_secs(9)), "no change is pending");
+    assert!(!batcher.take_due(start + Duration::from_secs(9)), "no change is pending");
 }
 
 /// Guards against callers that are sent to an entry which has stopped: one control member has not
@@ -405,14 +405,14 @@
         PlacementQuery { first_byte_deadline: Some(deadline), ..query(&service, &model, &tried) };
     assert_eq!(table.choose(&further, now), PlacementOutcome::Target(id(2)));
 
-    table.apply_engine(&link_news(2, 500), now);
+    table.apply_engine(&link_status(2, 500), now);
     assert_eq!(table.choose(&further, now), PlacementOutcome::Full);
     assert_eq!(
         choose(&table, &tried, now),
         PlacementOutcome::Target(id(2)),
         "no deadline, since the caller stays"
     );
-    table.apply_engine(&link_news(2, 0), now);
+    table.apply_engine(&link_status(2, 0), now);
 
     table.record_first_byte(&id(2), now - Duration::from_millis(700), now);
     assert_eq!(
--- a/tests/all/versions.rs
+++ b/tests/all/versions.rs
@@ -1,6 +1,6 @@
 //! Which weights requests may begin on, and when engines take new ones.
 
-use crate::serving_tables::{address, choose, held, id, model, news, record, service, table};
+use crate::serving_tables::{address, choose, held, id, model, record, service, status, table};
 use egretseam_serving::{
     AttemptOutcome, EngineStatus, Incarnation, OlderVersionPolicy, OlderVersionState,
     PlacementOutcome, PublishedVersion, SwitchSchedule, SwitchTiming, TargetState,
@@ -118,7 +118,7 @@
         PlacementOutcome::NoTarget,
         "the engine restarted and is empty"
     );
-    let mut old = news(record(1, 2, TargetState::Ready));
+    let mut old = status(record(1, 2, TargetState::Ready));
     old.age_millis = 5_000;
     table.apply_target(0, &old, at);
     assert_eq!(choose(&table, &[], at), PlacementOutcome::NoTarget);
