--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -116,9 +116,7 @@
     /// run for a caller that has left. A request that was sent cannot be recalled, so it is not
     /// sent.
     fn answers_in_time(&self, row: &TargetRow, now: Instant) -> bool {
-        let left = self
-            .first_byte_deadline
-            .map(|first_byte_deadline| first_byte_deadline.saturating_duration_since(now));
+        let left = self.first_byte_deadline.map(|deadline| deadline.saturating_duration_since(now));
         left.is_none_or(|left| row.answers_within(left, now))
     }
 }
@@ -271,7 +269,8 @@
         limited && fresh.is_some_and(|sample| row.own_in_flight >= sample.own_limit)
     }
 
-    /// Mean number of other entries' requests per target.
+    /// Requests estimated at a target: this entry's own are known, the others' follow from the last
+    /// load sample.
     fn estimated_load(&self, row: &TargetRow, mean_other_load: f64, now: Instant) -> f64 {
         let own = f64::from(row.own_in_flight);
         // A target without a sample is likely new. Assumed as full as the others, it would get no
@@ -292,7 +291,7 @@
 /// Upper bound of [`slowness`].
 const MAX_SLOWNESS: f64 = 3.0;
 
-/// Median of the targets' mean times to the first byte.
+/// Median of the targets' mean times to the first byte, or [`FAST_FIRST_BYTE`] if none is known.
 fn median_first_byte(eligible: &[(&TargetId, &TargetRow)], now: Instant) -> Duration {
     let mut times: Vec<Duration> =
         eligible.iter().filter_map(|(_, row)| row.mean_first_byte(now)).collect();
@@ -312,7 +311,7 @@
 
 /// What the placement of a request compares its targets with.
 struct ServiceView {
-    /// The others' requests at a mean target.
+    /// Mean number of other entries' requests per target.
     mean_other_load: f64,
     /// Median time to the first byte.
     median_first_byte: Duration,
