--- a/crates/serving/src/wait_queue.rs
+++ b/crates/serving/src/wait_queue.rs
@@ -261,9 +261,9 @@
     /// the slots granted in the last second; `None` while too little is known.
     ///
     /// Guards against late requests that queue for 1.5 s while all slots go to requests that can
-    /// still be in time, and are rejected with too little time left to be served elsewhere. Their
-    /// wait is predicted from the number of late requests placed recently, not from the rate at
-    /// which slots come free.
+    /// still be in time, and are rejected with too little time left to be served elsewhere. The
+    /// wait among late requests is therefore predicted from the number of late requests placed
+    /// recently, not from the rate at which slots come free.
     pub fn predicted_wait(&mut self, urgency: &WaitUrgency, now: Instant) -> Option<Duration> {
         self.rotate_windows(now);
         let start = self.window_start.unwrap_or(now);
@@ -280,7 +280,8 @@
         if !urgency.is_late() {
             return Some(span.mul_f64((ahead + 1) as f64 / f64::from(placed)));
         }
-        // The one added gives a finite prediction while no late request was placed yet.
+        // Counting one more than were placed gives a finite prediction before any late request was
+        // placed.
         let placed_late = self.previous_window.placed_late + self.current_window.placed_late + 1;
         let behind_in_time = (ahead - late_ahead) as f64 / f64::from(placed);
         let among_late = (late_ahead + 1) as f64 / f64::from(placed_late);
