--- a/tests/all/narrow_links.rs
+++ b/tests/all/narrow_links.rs
@@ -1,6 +1,6 @@
 //! How an agent detects that its own link is slow, and how requests avoid such links.
 
-use crate::serving_tables::{choose, id, link_news, table};
+use crate::serving_tables::{choose, id, link_status, table};
 use egretseam_serving::PlacementOutcome;
 use egretseam_swarm::LinkMonitor;
 use std::{collections::VecDeque, time::Duration};
@@ -72,7 +72,7 @@
     let now = Instant::now();
     let mut table = table(&[1, 2, 3], now);
     for host in [1, 2] {
-        table.apply_engine(&link_news(host, 1_000), now);
+        table.apply_engine(&link_status(host, 1_000), now);
     }
     for _ in 0..50 {
         assert_eq!(choose(&table, &[], now), PlacementOutcome::Target(id(3)));
@@ -90,9 +90,9 @@
         matches!(retried, PlacementOutcome::Target(_)),
         "only slow links are left for the retry"
     );
-    table.apply_engine(&link_news(3, 1_000), now);
+    table.apply_engine(&link_status(3, 1_000), now);
     assert!(matches!(choose(&table, &[], now), PlacementOutcome::Target(_)), "all links are slow");
-    table.apply_engine(&link_news(1, 0), now);
+    table.apply_engine(&link_status(1, 0), now);
     for _ in 0..50 {
         assert_eq!(
             choose(&table, &[], now),
--- a/tests/all/versions.rs
+++ b/tests/all/versions.rs
@@ -1,6 +1,6 @@
 //! Which weights requests may begin on, and when engines load new ones.
 
-use crate::serving_tables::{address, choose, held, id, model, news, record, service, table};
+use crate::serving_tables::{address, choose, held, id, model, record, service, status, table};
 use egretseam_serving::{
     AttemptOutcome, EngineStatus, Incarnation, OlderVersionPolicy, OlderVersionState,
     PlacementOutcome, PublishedVersion, SwitchSchedule, SwitchTiming, TargetState,
@@ -119,7 +119,7 @@
         PlacementOutcome::NoTarget,
         "the engine restarted without weights"
     );
-    let mut older_record = news(record(1, 2, TargetState::Ready));
+    let mut older_record = status(record(1, 2, TargetState::Ready));
     older_record.age_millis = 5_000;
     table.apply_target(0, &older_record, at);
     assert_eq!(choose(&table, &[], at), PlacementOutcome::NoTarget);
