--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -347,9 +347,9 @@
         for entry in output.committed {
             self.apply(entry);
         }
-        for grant in output.reads {
-            if let Some(reply) = self.reads.shift_remove(&grant.token) {
-                reply.send(grant.index).ok();
+        for outcome in output.reads {
+            if let Some(reply) = self.reads.shift_remove(&outcome.token) {
+                reply.send(outcome.index).ok();
             }
         }
         Ok(())
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -25,7 +25,7 @@
     membership::{MemberId, MemberRecord, Membership, MembershipChange},
     message::{
         EntryPayload, Envelope, GroupId, HardState, LogEntry, LogIndex, LogWrite, Message,
-        ReadGrant, ReadToken, SnapshotImage, Term,
+        ReadOutcome, ReadToken, SnapshotImage, Term,
     },
     node::{MemberProgress, NodeRole, NodeStatus, ProposeError, ReplicaNode, ReplicaOutput},
     store::{LogStore, MemberIdentity, RecoveredState, StoreError},
--- a/crates/replica/src/message.rs
+++ b/crates/replica/src/message.rs
@@ -134,7 +134,7 @@
 
 /// A confirmed read: state at or behind `index` is current as of the read's start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadGrant {
+pub struct ReadOutcome {
     /// The driver's number for the read.
     pub token: ReadToken,
     /// Index that must be applied before the read is answered; `None` if the read was dropped
@@ -247,7 +247,7 @@
     ReadReply {
         /// Asker's number.
         token: ReadToken,
-        /// See [`ReadGrant::index`].
+        /// See [`ReadOutcome::index`].
         index: Option<LogIndex>,
     },
     /// Asks the addressee to campaign at once, because the leader is stopping.
--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -18,7 +18,7 @@
     membership::{MemberId, Membership},
     message::{
         EntryPayload, Envelope, GroupId, HardState, LogEntry, LogIndex, LogWrite, Message,
-        ReadGrant, ReadToken, SnapshotImage, Term,
+        ReadOutcome, ReadToken, SnapshotImage, Term,
     },
     node::{follower::IncomingSnapshot, leader::LeaderState},
     store::{MemberIdentity, RecoveredState},
@@ -213,13 +213,13 @@
         Ok((self.hard.term, self.append_own(EntryPayload::Command(command))))
     }
 
-    /// Asks for a confirmed read; a [`ReadGrant`] with `token` follows in some later output, or
+    /// Asks for a confirmed read; a [`ReadOutcome`] with `token` follows in some later output, or
     /// nothing if a message is lost.
     pub fn read(&mut self, token: ReadToken) {
         match self.leader() {
             Some(leader) if leader == self.id => self.queue_read(self.id, token),
             Some(leader) => self.send_now(leader, Message::Read { token }),
-            None => self.output.reads.push(ReadGrant { token, index: None }),
+            None => self.output.reads.push(ReadOutcome { token, index: None }),
         }
     }
 
@@ -316,7 +316,7 @@
                 self.send_now(from, Message::ReadReply { token, index: None });
             }
             Message::ReadReply { token, index } => {
-                self.output.reads.push(ReadGrant { token, index });
+                self.output.reads.push(ReadOutcome { token, index });
             }
             Message::TimeoutNow if current => self.campaign(),
             Message::NotMember => self.note_removed(),
@@ -382,7 +382,7 @@
 
     fn answer_read(&mut self, from: MemberId, token: ReadToken, index: Option<LogIndex>) {
         if from == self.id {
-            self.output.reads.push(ReadGrant { token, index });
+            self.output.reads.push(ReadOutcome { token, index });
         } else {
             self.send_now(from, Message::ReadReply { token, index });
         }
--- a/crates/replica/src/node/output.rs
+++ b/crates/replica/src/node/output.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     membership::{MemberId, Membership},
-    message::{Envelope, LogEntry, LogIndex, LogWrite, ReadGrant, SnapshotImage, Term},
+    message::{Envelope, LogEntry, LogIndex, LogWrite, ReadOutcome, SnapshotImage, Term},
 };
 use std::time::Duration;
 use thiserror::Error;
@@ -93,7 +93,7 @@
     /// Entries to apply, in order.
     pub committed: Vec<LogEntry>,
     /// Reads that were confirmed or dropped.
-    pub reads: Vec<ReadGrant>,
+    pub reads: Vec<ReadOutcome>,
 }
 
 impl ReplicaOutput {
--- a/crates/testkit/src/group.rs
+++ b/crates/testkit/src/group.rs
@@ -401,12 +401,12 @@
         for entry in output.committed {
             self.apply(number, &entry);
         }
-        for grant in output.reads {
-            let Some((accepted, result)) = self.reads.get_mut(&grant.token.0) else { continue };
-            if let Some(index) = grant.index {
+        for outcome in output.reads {
+            let Some((accepted, result)) = self.reads.get_mut(&outcome.token.0) else { continue };
+            if let Some(index) = outcome.index {
                 assert!(index >= *accepted, "a read was confirmed behind what was accepted");
             }
-            *result = Some(grant.index);
+            *result = Some(outcome.index);
         }
     }
 
