--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -339,7 +339,7 @@
         if !output.writes.is_empty() {
             self.write(output.writes).await?;
         }
-        self.node.synced();
+        self.node.record_sync();
         self.outbox.send(output.send_after_sync);
         if let Some(image) = output.restore {
             self.restore(&image.data, image.index);
--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -1,7 +1,7 @@
 //! The pure decision core of one member.
 //!
 //! A driver repeats: feed inputs, [`ReplicaNode::take_output`], send `send_now`, write and sync
-//! `writes`, [`ReplicaNode::synced`], send `send_after_sync`, apply `committed`. Between
+//! `writes`, [`ReplicaNode::record_sync`], send `send_after_sync`, apply `committed`. Between
 //! `take_output` and `synced` it feeds nothing; inputs that arrive meanwhile wait and form the next
 //! batch, which is where group commit comes from.
 
@@ -243,7 +243,7 @@
     }
 
     /// Tells the node that every write of the last output is on disk.
-    pub fn synced(&mut self) {
+    pub fn record_sync(&mut self) {
         self.synced = self.table.last_index();
         if let Role::Candidate { grants } = &mut self.role {
             // The own vote counts only now: counted earlier, a crash could forget it and the
--- a/crates/replica/src/node/output.rs
+++ b/crates/replica/src/node/output.rs
@@ -84,7 +84,7 @@
 pub struct ReplicaOutput {
     /// Messages that may leave before the writes are synced.
     pub send_now: Vec<Envelope>,
-    /// Writes, in order; all must be synced before `synced` is called.
+    /// Writes, in order; all must be synced before `record_sync` is called.
     pub writes: Vec<LogWrite>,
     /// Messages that vouch for the writes: votes and acknowledgements.
     pub send_after_sync: Vec<Envelope>,
--- a/crates/replica/tests/founding.rs
+++ b/crates/replica/tests/founding.rs
@@ -13,7 +13,7 @@
         if !output.writes.is_empty() {
             store.write(&output.writes).expect("the folder takes writes");
         }
-        node.synced();
+        node.record_sync();
     }
 }
 
--- a/crates/testkit/src/group.rs
+++ b/crates/testkit/src/group.rs
@@ -390,7 +390,7 @@
             replay(&mut member.disk, write);
         }
         if let Some(node) = member.node.as_mut() {
-            node.synced();
+            node.record_sync();
         }
         self.network.extend(output.send_after_sync);
         if let Some(image) = output.restore {
--- a/examples/embed_replica.rs
+++ b/examples/embed_replica.rs
@@ -13,11 +13,11 @@
         if output.is_empty() {
             return Ok(applied);
         }
-        // With more members: send `send_now` here, and `send_after_sync` after `synced`.
+        // With more members: send `send_now` here, and `send_after_sync` after `record_sync`.
         if !output.writes.is_empty() {
             store.write(&output.writes)?;
         }
-        node.synced();
+        node.record_sync();
         for entry in output.committed {
             if let EntryPayload::Command(bytes) = entry.payload {
                 applied.push(bytes);
