--- a/crates/control/src/handler.rs
+++ b/crates/control/src/handler.rs
@@ -135,7 +135,7 @@
             members: status.membership.members().cloned().collect(),
             leader: leader.map(|member| member.name.clone()),
             term: status.term.0,
-            commit: status.commit.0,
+            commit: status.commit_index.0,
             answered_by,
             revision,
             watchers,
--- a/crates/control/src/repair.rs
+++ b/crates/control/src/repair.rs
@@ -62,7 +62,9 @@
         let voters = group.voters().count();
         let caught_up = |record: &MemberRecord| {
             let peer = status.progress.iter().find(|peer| peer.id == record.id);
-            peer.is_some_and(|peer| peer.matched >= status.commit && peer.matched.0 > 0)
+            peer.is_some_and(|peer| {
+                peer.match_index >= status.commit_index && peer.match_index.0 > 0
+            })
         };
         let mut learners = group.members().filter(|member| !member.voter);
         let heir = learners.find(|member| is_live(member.id) && caught_up(member));
--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -146,9 +146,9 @@
             role,
             term: self.hard.term,
             leader: self.leader(),
-            commit: self.commit,
-            last: self.table.last_index(),
-            first: self.table.first_index(),
+            commit_index: self.commit,
+            last_index: self.table.last_index(),
+            first_index: self.table.first_index(),
             membership: self.table.membership().clone(),
             progress: self.progress(),
         }
--- a/crates/replica/src/node/leader.rs
+++ b/crates/replica/src/node/leader.rs
@@ -124,7 +124,7 @@
         let Role::Leader(state) = &self.role else { return Vec::new() };
         let view = |(id, peer): (&MemberId, &PeerProgress)| MemberProgress {
             id: *id,
-            matched: peer.matched,
+            match_index: peer.matched,
             silent_for: self.now.saturating_sub(peer.acked_at),
         };
         state.peers.iter().map(view).collect()
--- a/crates/replica/src/node/output.rs
+++ b/crates/replica/src/node/output.rs
@@ -51,7 +51,7 @@
     /// The peer.
     pub id: MemberId,
     /// Last entry known to be on the peer's disk.
-    pub matched: LogIndex,
+    pub match_index: LogIndex,
     /// Time since the peer last answered.
     pub silent_for: Duration,
 }
@@ -68,11 +68,11 @@
     /// Known leader.
     pub leader: Option<MemberId>,
     /// Last committed entry.
-    pub commit: LogIndex,
+    pub commit_index: LogIndex,
     /// Last entry.
-    pub last: LogIndex,
+    pub last_index: LogIndex,
     /// First entry behind the snapshot.
-    pub first: LogIndex,
+    pub first_index: LogIndex,
     /// Membership in force.
     pub membership: Membership,
     /// Peers' progress; empty unless leading.
--- a/crates/replica/tests/founding.rs
+++ b/crates/replica/tests/founding.rs
@@ -29,6 +29,6 @@
         assert!(node.is_leader());
         node.propose(vec![1, 2, 3]).expect("a leader takes proposals");
         settle(&mut node, &mut store);
-        assert_eq!(node.status().commit, node.status().last);
+        assert_eq!(node.status().commit_index, node.status().last_index);
     }
 }
--- a/tests/all/group_faults.rs
+++ b/tests/all/group_faults.rs
@@ -63,9 +63,9 @@
     sim.deliver_where(|from, to, m| from == 1 && to == 0 && is_append_reply(m), false);
     // Member 0 is elected again and member 1 takes its old entries, but not yet the new one.
     elect(&mut sim, 0, 1);
-    let target = sim.node(0).map(|node| node.status().last.0 - 1);
+    let target = sim.node(0).map(|node| node.status().last_index.0 - 1);
     for _ in 0..40 {
-        let reached = sim.node(1).map(|node| node.status().last.0);
+        let reached = sim.node(1).map(|node| node.status().last_index.0);
         if reached >= target {
             break;
         }
@@ -74,7 +74,11 @@
             sim.deliver_first(|from, to, m| from == 1 && to == 0 && is_append_reply(m));
         }
     }
-    assert_eq!(sim.node(1).map(|node| node.status().last.0), target, "the old entries are there");
+    assert_eq!(
+        sim.node(1).map(|node| node.status().last_index.0),
+        target,
+        "the old entries are there"
+    );
     sim.deliver_where(|from, to, m| from == 1 && to == 0 && is_append_reply(m), false);
     sim.lose_all();
     assert_eq!(*sim.reply(first), SimReply::Pending, "a majority holds it, but of an old term");
@@ -315,7 +319,7 @@
         // A message and its answer, twice, take a small part of the 200 ms between heartbeats.
         sim.run(Duration::from_millis(60));
         let commits: Vec<u64> =
-            (0..3).map(|at| sim.node(at).expect("it runs").status().commit.0).collect();
+            (0..3).map(|at| sim.node(at).expect("it runs").status().commit_index.0).collect();
         assert_eq!(commits, [commits[leader]; 3], "after change {number}");
         sim.run(Duration::from_millis(37));
     }
--- a/tests/all/group_repair.rs
+++ b/tests/all/group_repair.rs
@@ -21,7 +21,7 @@
 fn status(membership: &Membership, silent: &[(u64, u64)]) -> NodeStatus {
     let progress = silent.iter().map(|(id, millis)| MemberProgress {
         id: MemberId(*id),
-        matched: LogIndex(10),
+        match_index: LogIndex(10),
         silent_for: Duration::from_millis(*millis),
     });
     NodeStatus {
@@ -29,9 +29,9 @@
         role: NodeRole::Leader,
         term: Term(2),
         leader: Some(OWN),
-        commit: LogIndex(10),
-        last: LogIndex(10),
-        first: LogIndex(1),
+        commit_index: LogIndex(10),
+        last_index: LogIndex(10),
+        first_index: LogIndex(1),
         membership: membership.clone(),
         progress: progress.collect(),
     }
