--- a/crates/swarm/src/manifest.rs
+++ b/crates/swarm/src/manifest.rs
@@ -1,4 +1,4 @@
-//! What one version of weights consists of.
+//! Manifest of one version of weights: its sizes and the digest of each chunk.
 
 use egretseam_proto::{ChunkDigest, ManifestId, ModelName, VersionName};
 use serde::{Deserialize, Serialize};
@@ -9,34 +9,36 @@
 const MIN_CHUNK_BYTES: u32 = 4 * 1024;
 /// Largest chunk size in bytes.
 const MAX_CHUNK_BYTES: u32 = 64 * 1024 * 1024;
-/// Most chunks of one version; a terabyte in chunks of 8 MiB.
+/// Largest number of chunks in one version: 1 TiB in chunks of 8 MiB.
 const MAX_CHUNKS: u64 = 131_072;
-/// First bytes of the canonical encoding that the id is computed over.
+/// First line of the canonical encoding, over which the id is computed.
 const CANONICAL_HEAD: &str = "egretseam manifest 1\n";
 
-/// A manifest that contradicts itself.
+/// Why a manifest is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ManifestError {
-    /// Chunk size out of range.
+    /// The chunk size is out of range.
     #[error("chunk_bytes {0} is not between {MIN_CHUNK_BYTES} and {MAX_CHUNK_BYTES}")]
     ChunkBytes(u32),
-    /// No bytes at all.
+    /// The version has no bytes.
     #[error("total_bytes must not be 0")]
     Empty,
-    /// The list of digests does not fit the sizes.
-    #[error("{listed} digests are listed, but the sizes make {expected} chunks")]
+    /// The number of digests does not match the sizes.
+    #[error(
+        "manifest lists {listed} digests, but total_bytes and chunk_bytes give {expected} chunks"
+    )]
     ChunkCount {
-        /// Digests listed.
+        /// Number of digests in the manifest.
         listed: usize,
-        /// Chunks by size.
+        /// Number of chunks computed from `total_bytes` and `chunk_bytes`.
         expected: u64,
     },
-    /// Too many chunks.
+    /// The sizes give more chunks than a version may have.
     #[error("{0} chunks exceed the limit of {MAX_CHUNKS}; use larger chunks")]
     TooManyChunks(u64),
 }
 
-/// A manifest as an origin publishes it, unchecked.
+/// A manifest as an origin publishes it, not yet validated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawManifest {
@@ -44,15 +46,15 @@
     pub model: ModelName,
     /// Version.
     pub version: VersionName,
-    /// Size of the whole in bytes.
+    /// Size of all chunks together in bytes.
     pub total_bytes: u64,
-    /// Size of every chunk but the last in bytes.
+    /// Size of each chunk in bytes; the last one may be smaller.
     pub chunk_bytes: u32,
     /// BLAKE3 digest of each chunk, in order.
     pub chunks: Vec<ChunkDigest>,
 }
 
-/// A checked manifest and its identity.
+/// A validated manifest and its id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightManifest {
     raw: RawManifest,
@@ -76,14 +78,14 @@
         if raw.chunks.len() as u64 != expected {
             return Err(ManifestError::ChunkCount { listed: raw.chunks.len(), expected });
         }
-        let id = ManifestId::of(&canonical(&raw));
+        let id = ManifestId::of(&canonical_encoding(&raw));
         Ok(Self { raw, id })
     }
 }
 
-/// The bytes that a manifest's id is the digest of: a head line, four lines of text, then the raw
+/// The bytes that a manifest's id is the digest of: a header line, four lines of text, then the raw
 /// digests in order.
-fn canonical(raw: &RawManifest) -> Vec<u8> {
+fn canonical_encoding(raw: &RawManifest) -> Vec<u8> {
     let mut bytes = format!(
         "{CANONICAL_HEAD}{}\n{}\n{}\n{}\n",
         raw.model, raw.version, raw.total_bytes, raw.chunk_bytes
@@ -96,10 +98,10 @@
 }
 
 impl WeightManifest {
-    /// The manifest of `data`, as an origin computes it.
+    /// Computes the manifest of `data`, as an origin does.
     ///
     /// # Errors
-    /// Fails on sizes out of range.
+    /// Fails if a size is out of range.
     pub fn of_bytes(
         model: &ModelName,
         version: &VersionName,
@@ -119,12 +121,12 @@
         })
     }
 
-    /// The manifest's identity.
+    /// The digest of the canonical encoding, which identifies the manifest.
     pub fn id(&self) -> ManifestId {
         self.id
     }
 
-    /// The published form.
+    /// The manifest as it is published.
     pub fn raw(&self) -> &RawManifest {
         &self.raw
     }
@@ -139,22 +141,22 @@
         &self.raw.version
     }
 
-    /// Size of the whole in bytes.
+    /// Size of all chunks together in bytes.
     pub fn total_bytes(&self) -> u64 {
         self.raw.total_bytes
     }
 
-    /// How many chunks there are.
+    /// Number of chunks.
     pub fn chunk_count(&self) -> u32 {
         self.raw.chunks.len() as u32
     }
 
-    /// Digest of `chunk`, if there is such a chunk.
+    /// Digest of `chunk`, or `None` if the manifest has no such chunk.
     pub fn digest(&self, chunk: u32) -> Option<ChunkDigest> {
         self.raw.chunks.get(chunk as usize).copied()
     }
 
-    /// Where `chunk` lies in the whole.
+    /// Byte range of `chunk` within the weights; empty if the manifest has no such chunk.
     pub fn range(&self, chunk: u32) -> Range<u64> {
         let size = u64::from(self.raw.chunk_bytes);
         let start = (u64::from(chunk) * size).min(self.raw.total_bytes);
