--- a/crates/swarm/src/server.rs
+++ b/crates/swarm/src/server.rs
@@ -1,4 +1,4 @@
-//! Gives chunks to peers, within the instance's link budget.
+//! HTTP handler that uploads chunks to peers, paced by the instance's [`LinkPacer`].
 
 use crate::{
     chunk_set::ChunkSet,
@@ -26,61 +26,61 @@
 };
 use tokio::sync::watch;
 
-/// Bytes read and paced at a time while a chunk is sent.
+/// Bytes of a chunk that are paced, read from disk and sent at a time.
 const PIECE_BYTES: u64 = 32 * 1024;
-/// Longest wait for a new chunk that a peer may ask for.
+/// Upper limit of the hold time that a peer may request for a long poll.
 const MAX_HAVE_WAIT: Duration = Duration::from_secs(10);
-/// What a peer is told when all sending slots are taken, in seconds.
-const BUSY_SECONDS: &str = "0.02";
+/// `Retry-After` of the response while all upload slots are in use, in seconds.
+const BUSY_RETRY_AFTER_SECONDS: &str = "0.02";
 
-/// One version of which this instance has chunks.
+/// A version whose chunks this instance offers to peers.
 struct SharedVersion {
     manifest: WeightManifest,
     have: Rc<RefCell<ChunkSet>>,
-    count: watch::Sender<u32>,
+    have_count: watch::Sender<u32>,
     data: VersionData,
 }
 
 #[derive(Clone)]
 enum VersionData {
     Staged(Arc<StagedWeights>),
-    Whole(Rc<File>),
+    Complete(Rc<File>),
 }
 
 impl VersionData {
     fn read_at(&self, start: u64, bytes: &mut [u8]) -> io::Result<()> {
         match self {
             Self::Staged(staged) => staged.read_at(start, bytes).map_err(io::Error::other),
-            Self::Whole(file) => file.read_exact_at(bytes, start),
+            Self::Complete(file) => file.read_exact_at(bytes, start),
         }
     }
 }
 
-/// What the chunk listener has done.
+/// Counters of a chunk handler.
 #[derive(Debug, Default)]
 pub struct ServerCounters {
     /// Chunks sent in full.
     pub chunks_sent: Cell<u64>,
-    /// Requests refused because all slots were taken.
-    pub busy: Cell<u64>,
-    /// Requests without the peer token.
-    pub unauthorised: Cell<u64>,
+    /// Requests rejected because all upload slots were in use.
+    pub rejected_busy: Cell<u64>,
+    /// Requests rejected because they lacked the peer token.
+    pub rejected_unauthorised: Cell<u64>,
 }
 
-/// Answers peers.
+/// Serves manifests, chunks and chunk sets to peers that present the peer token.
 pub struct ChunkHandler {
     token: SecretToken,
-    budget: Rc<LinkPacer>,
+    pacer: Rc<LinkPacer>,
     versions: RefCell<IndexMap<ManifestId, SharedVersion>>,
-    slots: Rc<Cell<usize>>,
+    free_slots: Rc<Cell<usize>>,
     max_slots: usize,
     counters: Rc<ServerCounters>,
 }
 
-/// A sending slot, given back when dropped, also when the peer goes away halfway.
-struct SlotGuard(Rc<Cell<usize>>);
+/// An upload slot, freed on drop, also when the peer disconnects before it has the whole chunk.
+struct UploadSlot(Rc<Cell<usize>>);
 
-impl Drop for SlotGuard {
+impl Drop for UploadSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
@@ -88,59 +88,62 @@
 
 impl ChunkHandler {
     /// A handler that sends at most `max_slots` chunks at a time.
-    pub fn new(token: SecretToken, budget: Rc<LinkPacer>, max_slots: usize) -> Self {
+    pub fn new(token: SecretToken, pacer: Rc<LinkPacer>, max_slots: usize) -> Self {
         Self {
             token,
-            budget,
+            pacer,
             versions: RefCell::default(),
-            slots: Rc::new(Cell::new(max_slots)),
+            free_slots: Rc::new(Cell::new(max_slots)),
             max_slots,
             counters: Rc::default(),
         }
     }
 
-    /// What was done so far.
+    /// Counters since the handler was created.
     pub fn counters(&self) -> &Rc<ServerCounters> {
         &self.counters
     }
 
-    /// Chunks being sent now.
-    pub fn active(&self) -> usize {
-        self.max_slots - self.slots.get()
+    /// Number of chunks being sent now.
+    pub fn active_uploads(&self) -> usize {
+        self.max_slots - self.free_slots.get()
     }
 
-    /// Offers a version that is being staged; `have` is kept up to date by the transfer.
+    /// Offers the chunks of a version that is being staged; the transfer keeps `have` up to date.
     pub fn share_staged(&self, staged: &Arc<StagedWeights>, have: &Rc<RefCell<ChunkSet>>) {
         let version = SharedVersion {
             manifest: staged.manifest().clone(),
             have: have.clone(),
-            count: watch::Sender::new(have.borrow().count()),
+            have_count: watch::Sender::new(have.borrow().count()),
             data: VersionData::Staged(staged.clone()),
         };
         self.versions.borrow_mut().insert(staged.manifest().id(), version);
     }
 
-    /// Offers a whole version.
+    /// Offers all chunks of a complete version.
     ///
     /// # Errors
     /// Fails if its file cannot be opened.
-    pub fn share_complete(&self, whole: &CompleteWeights) -> Result<(), crate::WeightStoreError> {
-        let manifest = whole.manifest().clone();
+    pub fn share_complete(
+        &self,
+        complete: &CompleteWeights,
+    ) -> Result<(), crate::WeightStoreError> {
+        let manifest = complete.manifest().clone();
         let count = manifest.chunk_count();
         let version = SharedVersion {
             have: Rc::new(RefCell::new(ChunkSet::full(count))),
-            count: watch::Sender::new(count),
-            data: VersionData::Whole(Rc::new(whole.open()?)),
+            have_count: watch::Sender::new(count),
+            data: VersionData::Complete(Rc::new(complete.open()?)),
             manifest,
         };
         self.versions.borrow_mut().insert(version.manifest.id(), version);
         Ok(())
     }
 
-    /// Wakes peers that wait for a new chunk of this version.
-    pub fn note_chunk(&self, id: ManifestId) {
+    /// Ends the long polls of peers that wait for a new chunk of this version.
+    pub fn notify_chunk(&self, id: ManifestId) {
         if let Some(version) = self.versions.borrow().get(&id) {
-            version.count.send_replace(version.have.borrow().count());
+            version.have_count.send_replace(version.have.borrow().count());
         }
     }
 
@@ -149,7 +152,7 @@
         self.versions.borrow_mut().retain(|id, _| keep.contains(id));
     }
 
-    async fn answer(&self, request: &Request) -> Result<HttpReply, FailureReport> {
+    async fn respond(&self, request: &Request) -> Result<HttpReply, FailureReport> {
         self.authorise(request)?;
         if request.method() != Method::GET {
             let detail = request.method().to_string();
@@ -160,18 +163,18 @@
         match parts.as_slice() {
             ["swarm", id, "manifest"] => {
                 let versions = self.versions.borrow();
-                let version = versions.get(&parse_id(id)?).ok_or_else(|| absent(path))?;
+                let version = versions.get(&parse_id(id)?).ok_or_else(|| not_found(path))?;
                 Ok(json_reply(StatusCode::OK, version.manifest.raw()))
             }
             ["swarm", id, "chunks", chunk] => {
-                let chunk = chunk.parse().map_err(|_| absent(path))?;
+                let chunk = chunk.parse().map_err(|_| not_found(path))?;
                 self.send_chunk(parse_id(id)?, chunk)
             }
             ["swarm", id, "have"] => {
                 let query = request.uri().query().unwrap_or_default();
                 self.wait_for_chunks(parse_id(id)?, query).await
             }
-            _ => Err(absent(path)),
+            _ => Err(not_found(path)),
         }
     }
 
@@ -179,7 +182,9 @@
         match bearer_token(request.headers()) {
             Some(offered) if self.token.matches(offered) => Ok(()),
             _ => {
-                self.counters.unauthorised.set(self.counters.unauthorised.get() + 1);
+                self.counters
+                    .rejected_unauthorised
+                    .set(self.counters.rejected_unauthorised.get() + 1);
                 let detail = "the peer token is needed";
                 Err(FailureReport::not_run(RefusalReason::Unauthorized, detail))
             }
@@ -193,41 +198,41 @@
     ) -> Result<HttpReply, FailureReport> {
         let known = query_number(query, "known").unwrap_or(0) as u32;
         let wait = Duration::from_millis(query_number(query, "wait_millis").unwrap_or(0));
-        let (mut count, have) = {
+        let (mut have_count, have) = {
             let versions = self.versions.borrow();
-            let version = versions.get(&id).ok_or_else(|| absent("version"))?;
-            (version.count.subscribe(), version.have.clone())
+            let version = versions.get(&id).ok_or_else(|| not_found("version"))?;
+            (version.have_count.subscribe(), version.have.clone())
         };
-        let more = count.wait_for(|count| *count > known);
-        tokio::time::timeout(wait.min(MAX_HAVE_WAIT), more).await.ok();
+        let new_chunk = have_count.wait_for(|count| *count > known);
+        tokio::time::timeout(wait.min(MAX_HAVE_WAIT), new_chunk).await.ok();
         let text = have.borrow().to_text();
         Ok(text_reply(StatusCode::OK, text))
     }
 
     fn send_chunk(&self, id: ManifestId, chunk: u32) -> Result<HttpReply, FailureReport> {
         let versions = self.versions.borrow();
-        let version = versions.get(&id).ok_or_else(|| absent("version"))?;
+        let version = versions.get(&id).ok_or_else(|| not_found("version"))?;
         if !version.have.borrow().contains(chunk) {
-            return Err(absent("chunk"));
+            return Err(not_found("chunk"));
         }
         let have = version.have.borrow().to_text();
-        if self.slots.get() == 0 {
-            self.counters.busy.set(self.counters.busy.get() + 1);
-            let mut busy = Response::build(StatusCode::SERVICE_UNAVAILABLE);
-            busy.insert_header(("retry-after", BUSY_SECONDS));
-            return Ok(busy.insert_header((HAVE_HEADER, have)).finish().map_into_boxed_body());
+        if self.free_slots.get() == 0 {
+            self.counters.rejected_busy.set(self.counters.rejected_busy.get() + 1);
+            let mut reply = Response::build(StatusCode::SERVICE_UNAVAILABLE);
+            reply.insert_header(("retry-after", BUSY_RETRY_AFTER_SECONDS));
+            return Ok(reply.insert_header((HAVE_HEADER, have)).finish().map_into_boxed_body());
         }
-        self.slots.set(self.slots.get() - 1);
-        let guard = SlotGuard(self.slots.clone());
+        self.free_slots.set(self.free_slots.get() - 1);
+        let slot = UploadSlot(self.free_slots.clone());
         let range = version.manifest.range(chunk);
         let length = range.end - range.start;
         let reader = ChunkReader {
             data: version.data.clone(),
-            budget: self.budget.clone(),
+            pacer: self.pacer.clone(),
             counters: self.counters.clone(),
-            at: range.start,
+            offset: range.start,
             end: range.end,
-            _guard: guard,
+            _slot: slot,
         };
         let pieces = futures::stream::unfold(reader, ChunkReader::next_piece);
         let body = actix_http::body::SizedStream::new(length, Box::pin(pieces));
@@ -239,24 +244,24 @@
 
 struct ChunkReader {
     data: VersionData,
-    budget: Rc<LinkPacer>,
+    pacer: Rc<LinkPacer>,
     counters: Rc<ServerCounters>,
-    at: u64,
+    offset: u64,
     end: u64,
-    _guard: SlotGuard,
+    _slot: UploadSlot,
 }
 
 impl ChunkReader {
     async fn next_piece(mut self) -> Option<(io::Result<Bytes>, Self)> {
-        if self.at >= self.end {
+        if self.offset >= self.end {
             self.counters.chunks_sent.set(self.counters.chunks_sent.get() + 1);
             return None;
         }
-        let length = (self.end - self.at).min(PIECE_BYTES) as usize;
-        self.budget.acquire(length).await;
+        let length = (self.end - self.offset).min(PIECE_BYTES) as usize;
+        self.pacer.acquire(length).await;
         let mut piece = vec![0; length];
-        let read = self.data.read_at(self.at, &mut piece);
-        self.at += length as u64;
+        let read = self.data.read_at(self.offset, &mut piece);
+        self.offset += length as u64;
         Some((read.map(|()| Bytes::from(piece)), self))
     }
 }
@@ -264,7 +269,7 @@
 impl HttpHandler for ChunkHandler {
     fn handle(self: Rc<Self>, request: Request) -> LocalBoxFuture<'static, HttpReply> {
         Box::pin(async move {
-            match self.answer(&request).await {
+            match self.respond(&request).await {
                 Ok(reply) => reply,
                 Err(report) => failure_reply(&report),
             }
@@ -273,10 +278,10 @@
 }
 
 fn parse_id(text: &str) -> Result<ManifestId, FailureReport> {
-    ManifestId::try_from(text.to_owned()).map_err(|_| absent(text))
+    ManifestId::try_from(text.to_owned()).map_err(|_| not_found(text))
 }
 
-fn absent(what: &str) -> FailureReport {
+fn not_found(what: &str) -> FailureReport {
     FailureReport::not_run(RefusalReason::NotFound, what)
 }
 
--- a/crates/swarm/src/source.rs
+++ b/crates/swarm/src/source.rs
@@ -1,4 +1,4 @@
-//! Where chunks come from, behind trait objects: origin, store and peers, all over HTTP.
+//! Sources of manifests and chunks: traits for upstreams and peers, and their HTTP clients.
 
 use crate::manifest::{RawManifest, WeightManifest};
 use awc::{
@@ -12,50 +12,50 @@
 use std::{ops::Range, time::Duration};
 use thiserror::Error;
 
-/// Largest manifest read, in bytes: 131,072 digests and some.
+/// Upper limit of a manifest or chunk set in bytes; fits a manifest of 131,072 digests.
 const MAX_MANIFEST_BYTES: usize = 16 * 1024 * 1024;
 /// Header with the sender's [`crate::ChunkSet`] in text form.
 pub(crate) const HAVE_HEADER: &str = "egretseam-have";
-/// How long a source may take to begin its answer.
-const HEAD_LIMIT: Duration = Duration::from_secs(5);
-/// Pause where a busy source names none.
-const DEFAULT_BUSY_PAUSE: Duration = Duration::from_millis(20);
-/// Longest pause that a source may ask for.
-const LONGEST_BUSY_PAUSE: Duration = Duration::from_secs(60);
-
-/// Why a source gave nothing.
+/// Time within which a source must send the head of its response.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay before a retry when a busy source sends no valid `Retry-After`.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(20);
+/// Upper limit of the `Retry-After` that a source may set.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+
+/// Why a request to a source failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SourceError {
-    /// At its limit.
-    #[error("busy for {0:?}")]
+    /// The source is at its limit and may be asked again after this time.
+    #[error("source is busy, retry after {0:?}")]
     Busy(Duration),
-    /// Does not have it.
-    #[error("not there")]
+    /// The source does not have what was requested.
+    #[error("source does not have the manifest or chunk")]
     Absent,
-    /// No connection, no answer, or a broken one.
-    #[error("unreachable: {0}")]
+    /// No connection, no response in time, or a connection that failed before its end.
+    #[error("source is unreachable: {0}")]
     Unreachable(String),
-    /// An answer that makes no sense.
-    #[error("unusable answer: {0}")]
-    Unusable(String),
+    /// The response has an unexpected status or invalid contents.
+    #[error("invalid response from source: {0}")]
+    InvalidResponse(String),
 }
 
-/// A chunk wanted.
+/// The chunk that a source is asked for.
 #[derive(Clone, Debug)]
 pub struct ChunkRequest {
     /// Model or adapter.
     pub model: ModelName,
     /// Version.
     pub version: VersionName,
-    /// Identity.
+    /// Id of the manifest.
     pub manifest: ManifestId,
     /// Chunk number.
     pub chunk: u32,
-    /// Where the chunk lies in the whole.
+    /// Byte range of the chunk within the weights.
     pub range: Range<u64>,
 }
 
-/// A chunk's bytes as they arrive, with what the sender says it has.
+/// A chunk's bytes as they arrive, and the chunks that the sender reports to have.
 pub struct ChunkStream {
     /// The bytes.
     pub bytes: LocalBoxStream<'static, Result<Bytes, SourceError>>,
@@ -63,7 +63,7 @@
     pub have: Option<String>,
 }
 
-/// An upstream that holds published versions.
+/// An origin or weight store, which holds published versions.
 pub trait UpstreamSource {
     /// Reads the manifest of a version.
     fn manifest(
@@ -81,7 +81,7 @@
 
 /// A peer that holds some chunks.
 pub trait PeerSource {
-    /// Reads a manifest by its identity.
+    /// Reads the manifest with this id.
     fn manifest(
         &self,
         id: ManifestId,
@@ -93,8 +93,8 @@
         request: &ChunkRequest,
     ) -> LocalBoxFuture<'static, Result<ChunkStream, SourceError>>;
 
-    /// Waits until the peer has more than `known` chunks, or `wait` has passed; returns its chunk
-    /// set in text form.
+    /// Waits until the peer has more than `known` chunks or `wait` has passed, and returns the
+    /// peer's chunk set in text form.
     fn have(
         &self,
         id: ManifestId,
@@ -103,7 +103,8 @@
     ) -> LocalBoxFuture<'static, Result<String, SourceError>>;
 }
 
-/// Origin or store: `GET /weights/<model>/<version>/manifest` and `.../data` with `Range`.
+/// HTTP client of an origin or weight store: `GET /weights/<model>/<version>/manifest` and
+/// `.../data` with `Range`.
 #[derive(Clone)]
 pub struct HttpUpstream {
     client: Client,
@@ -111,7 +112,7 @@
 }
 
 impl HttpUpstream {
-    /// An upstream at `host:port`.
+    /// A client of the upstream at `host:port`.
     pub fn new(client: Client, address: &str) -> Self {
         Self { client, address: address.to_owned() }
     }
@@ -135,18 +136,18 @@
         let (model, version) = (&request.model, &request.version);
         let url = format!("http://{}/weights/{model}/{version}/data", self.address);
         let range = format!("bytes={}-{}", request.range.start, request.range.end - 1);
-        let call = self.client.get(url).insert_header((header::RANGE, range));
+        let http_request = self.client.get(url).insert_header((header::RANGE, range));
         Box::pin(async move {
-            let answer = send(call).await?;
-            if answer.status() != StatusCode::PARTIAL_CONTENT {
-                return Err(SourceError::Unusable("the range was not honoured".to_owned()));
+            let response = send(http_request).await?;
+            if response.status() != StatusCode::PARTIAL_CONTENT {
+                return Err(SourceError::InvalidResponse("the range was not honoured".to_owned()));
             }
-            Ok(stream_of(answer))
+            Ok(chunk_stream(response))
         })
     }
 }
 
-/// A peer's chunk listener.
+/// HTTP client of a peer's chunk listener.
 #[derive(Clone)]
 pub struct HttpPeer {
     client: Client,
@@ -155,7 +156,7 @@
 }
 
 impl HttpPeer {
-    /// A peer at `host:port`; `token` proves that the caller is one of ours.
+    /// A client of the peer at `host:port`; requests carry the shared peer token `token`.
     pub fn new(client: Client, address: &str, token: &str) -> Self {
         Self { client, address: address.to_owned(), token: token.to_owned() }
     }
@@ -177,8 +178,9 @@
         &self,
         request: &ChunkRequest,
     ) -> LocalBoxFuture<'static, Result<ChunkStream, SourceError>> {
-        let call = self.get(&format!("/swarm/{}/chunks/{}", request.manifest, request.chunk));
-        Box::pin(async move { Ok(stream_of(send(call).await?)) })
+        let http_request =
+            self.get(&format!("/swarm/{}/chunks/{}", request.manifest, request.chunk));
+        Box::pin(async move { Ok(chunk_stream(send(http_request).await?)) })
     }
 
     fn have(
@@ -188,61 +190,63 @@
         wait: Duration,
     ) -> LocalBoxFuture<'static, Result<String, SourceError>> {
         let millis = wait.as_millis();
-        let call = self.get(&format!("/swarm/{id}/have?known={known}&wait_millis={millis}"));
+        let http_request =
+            self.get(&format!("/swarm/{id}/have?known={known}&wait_millis={millis}"));
         Box::pin(async move {
-            let mut answer = send(call).await?;
-            let body = answer.body().limit(MAX_MANIFEST_BYTES).await.map_err(broken)?;
-            String::from_utf8(body.to_vec()).map_err(|e| SourceError::Unusable(e.to_string()))
+            let mut response = send(http_request).await?;
+            let body = response.body().limit(MAX_MANIFEST_BYTES).await.map_err(body_error)?;
+            String::from_utf8(body.to_vec())
+                .map_err(|e| SourceError::InvalidResponse(e.to_string()))
         })
     }
 }
 
-async fn send(call: awc::ClientRequest) -> Result<RawAnswer, SourceError> {
-    let sent = tokio::time::timeout(HEAD_LIMIT, call.no_decompress().send()).await;
+async fn send(http_request: awc::ClientRequest) -> Result<RawResponse, SourceError> {
+    let sent = tokio::time::timeout(HEAD_TIMEOUT, http_request.no_decompress().send()).await;
     let sent = sent.map_err(|_| SourceError::Unreachable("no answer in time".to_owned()))?;
-    let answer = sent.map_err(|error| SourceError::Unreachable(error.to_string()))?;
-    match answer.status() {
-        StatusCode::OK | StatusCode::PARTIAL_CONTENT => Ok(answer),
+    let response = sent.map_err(|error| SourceError::Unreachable(error.to_string()))?;
+    match response.status() {
+        StatusCode::OK | StatusCode::PARTIAL_CONTENT => Ok(response),
         StatusCode::NOT_FOUND | StatusCode::GONE => Err(SourceError::Absent),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            Err(SourceError::Busy(retry_after(&answer)))
+            Err(SourceError::Busy(retry_after(&response)))
         }
-        status => Err(SourceError::Unusable(format!("status {status}"))),
+        status => Err(SourceError::InvalidResponse(format!("status {status}"))),
     }
 }
 
-/// An answer whose body is still to be read.
-type RawAnswer = ClientResponse;
+/// A response whose body has not been read.
+type RawResponse = ClientResponse;
 
-fn retry_after(answer: &RawAnswer) -> Duration {
-    let value = answer.headers().get(header::RETRY_AFTER);
+fn retry_after(response: &RawResponse) -> Duration {
+    let value = response.headers().get(header::RETRY_AFTER);
     let seconds = value.and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
     match seconds {
         Some(seconds) if seconds.is_finite() && seconds >= 0.0 => {
-            Duration::from_secs_f64(seconds.min(LONGEST_BUSY_PAUSE.as_secs_f64()))
+            Duration::from_secs_f64(seconds.min(MAX_RETRY_AFTER.as_secs_f64()))
         }
-        _ => DEFAULT_BUSY_PAUSE,
+        _ => DEFAULT_RETRY_AFTER,
     }
 }
 
-fn stream_of(answer: RawAnswer) -> ChunkStream {
-    let have = answer.headers().get(HAVE_HEADER);
+fn chunk_stream(response: RawResponse) -> ChunkStream {
+    let have = response.headers().get(HAVE_HEADER);
     let have = have.and_then(|value| value.to_str().ok()).map(str::to_owned);
-    ChunkStream { bytes: bytes_of(answer).boxed_local(), have }
+    ChunkStream { bytes: byte_stream(response).boxed_local(), have }
 }
 
-fn bytes_of(answer: RawAnswer) -> impl Stream<Item = Result<Bytes, SourceError>> {
-    answer.map(|piece| piece.map_err(broken))
+fn byte_stream(response: RawResponse) -> impl Stream<Item = Result<Bytes, SourceError>> {
+    response.map(|piece| piece.map_err(body_error))
 }
 
-fn broken(error: PayloadError) -> SourceError {
+fn body_error(error: PayloadError) -> SourceError {
     SourceError::Unreachable(error.to_string())
 }
 
-async fn read_manifest(call: awc::ClientRequest) -> Result<WeightManifest, SourceError> {
-    let mut answer = send(call).await?;
-    let body = answer.body().limit(MAX_MANIFEST_BYTES).await.map_err(broken)?;
+async fn read_manifest(http_request: awc::ClientRequest) -> Result<WeightManifest, SourceError> {
+    let mut response = send(http_request).await?;
+    let body = response.body().limit(MAX_MANIFEST_BYTES).await.map_err(body_error)?;
     let raw: RawManifest =
-        serde_json::from_slice(&body).map_err(|e| SourceError::Unusable(e.to_string()))?;
-    WeightManifest::try_from(raw).map_err(|e| SourceError::Unusable(e.to_string()))
+        serde_json::from_slice(&body).map_err(|e| SourceError::InvalidResponse(e.to_string()))?;
+    WeightManifest::try_from(raw).map_err(|e| SourceError::InvalidResponse(e.to_string()))
 }
--- a/crates/swarm/src/transfer.rs
+++ b/crates/swarm/src/transfer.rs
@@ -1,4 +1,5 @@
-//! Carries the planner's orders out: fetches, verifies, writes, and tells peers.
+//! Executes the planner's orders: fetches chunks, verifies them, writes them to disk and offers
+//! them to peers.
 
 use crate::{
     chunk_set::ChunkSet,
@@ -24,24 +25,26 @@
 use thiserror::Error;
 use tokio::{sync::Notify, time::Instant};
 
-/// How many times longer an upstream may give nothing than a peer.
-const UPSTREAM_PATIENCE: u32 = 10;
-/// How often free slots are looked at without an event.
+/// Idle timeout of an upstream as a multiple of a peer's.
+const UPSTREAM_TIMEOUT_FACTOR: u32 = 10;
+/// Interval between runs of the planner while no event triggers one.
 const PLAN_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a neighbour may hold a question for new chunks.
-const HAVE_WAIT: Duration = Duration::from_secs(2);
-/// Least time between two questions to one neighbour; its chunk answers say the same thing.
-const HAVE_INTERVAL: Duration = Duration::from_millis(60);
-/// Pause after a neighbour could not be asked.
-const HAVE_PAUSE: Duration = Duration::from_millis(500);
+/// Time that a neighbour may hold a long poll for new chunks.
+const HAVE_POLL_WAIT: Duration = Duration::from_secs(2);
+/// Pause between a neighbour's response to a poll and the next poll. Its responses to chunk
+/// requests carry its chunk set as well.
+const HAVE_POLL_PAUSE: Duration = Duration::from_millis(60);
+/// Delay until a neighbour is polled again after a failure, and until an unreachable store is
+/// asked again.
+const FAILURE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Why a transfer ended without the whole.
+/// Why a transfer ended before the version was complete.
 #[derive(Debug, Error)]
 pub enum TransferError {
-    /// The disk refused.
+    /// Weights could not be read from or written to disk.
     #[error(transparent)]
     Store(#[from] WeightStoreError),
-    /// Another version is wanted now.
+    /// The transfer was stopped, because another version is wanted now.
     #[error("the transfer was stopped")]
     Stopped,
 }
@@ -49,15 +52,16 @@
 /// Settings of a transfer.
 #[derive(Clone, Copy, Debug)]
 pub struct TransferOptions {
-    /// What the planner weighs.
+    /// Limits and delays of the planner.
     pub policy: PlannerPolicy,
-    /// Time without a byte after which a source is given up.
-    pub progress_limit: Duration,
+    /// Time without a byte after which a fetch from a peer fails; `UPSTREAM_TIMEOUT_FACTOR`
+    /// times that for an upstream.
+    pub idle_timeout: Duration,
 }
 
 impl Default for TransferOptions {
     fn default() -> Self {
-        Self { policy: PlannerPolicy::default(), progress_limit: Duration::from_secs(1) }
+        Self { policy: PlannerPolicy::default(), idle_timeout: Duration::from_secs(1) }
     }
 }
 
@@ -70,12 +74,12 @@
     pub origin: Rc<dyn UpstreamSource>,
 }
 
-/// What a transfer has done so far.
+/// Progress and counters of a transfer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransferReport {
     /// Chunks present.
     pub chunks_have: u32,
-    /// Chunks of the version.
+    /// Number of chunks of the version.
     pub chunks_total: u32,
     /// Bytes fetched from the origin.
     pub origin_bytes: u64,
@@ -85,24 +89,24 @@
     pub peer_bytes: u64,
     /// Chunks fetched from peers in other availability zones.
     pub cross_zone_chunks: u64,
-    /// Chunks dropped because they did not match.
+    /// Fetches dropped because the chunk did not match its digest or the response was invalid.
     pub bad_chunks: u64,
-    /// Chunks that arrived twice, by hedging.
+    /// Chunks that a hedged fetch brought a second time.
     pub duplicate_chunks: u64,
-    /// Questions asked of neighbours.
+    /// Polls of neighbours for their chunk sets.
     pub have_requests: u64,
 }
 
 #[derive(Debug, Default)]
-struct ByteCounters {
-    origin: Cell<u64>,
-    store: Cell<u64>,
-    peers: Cell<u64>,
-    wasted: Cell<u64>,
+struct TransferCounters {
+    origin_bytes: Cell<u64>,
+    store_bytes: Cell<u64>,
+    peer_bytes: Cell<u64>,
+    duplicate_chunks: Cell<u64>,
     have_requests: Cell<u64>,
 }
 
-/// One version on its way to this instance.
+/// Transfer of one version to this instance.
 pub struct WeightTransfer {
     manifest: WeightManifest,
     options: TransferOptions,
@@ -111,28 +115,28 @@
     planner: RefCell<SwarmPlanner>,
     peers: RefCell<IndexMap<InstanceName, Rc<dyn PeerSource>>>,
     sources: TransferSources,
-    budget: Rc<LinkPacer>,
+    pacer: Rc<LinkPacer>,
     handler: Rc<ChunkHandler>,
-    bytes: ByteCounters,
-    changed: Notify,
+    counters: TransferCounters,
+    plan_trigger: Notify,
     started: Instant,
-    store_until: Cell<Option<Instant>>,
+    store_retry_at: Cell<Option<Instant>>,
     stopped: Cell<bool>,
-    failure: RefCell<Option<WeightStoreError>>,
+    store_error: RefCell<Option<WeightStoreError>>,
 }
 
 impl WeightTransfer {
-    /// Prepares a transfer, taking what is already on disk, and offers it to peers.
+    /// Prepares a transfer that keeps the chunks already on disk, and offers these to peers.
     ///
     /// # Errors
-    /// Fails if the disk refuses.
+    /// Fails if a file operation fails.
     pub fn new(
         store: &WeightStore,
         manifest: &WeightManifest,
         own: PlannerPeer,
         options: TransferOptions,
         sources: TransferSources,
-        budget: Rc<LinkPacer>,
+        pacer: Rc<LinkPacer>,
         handler: Rc<ChunkHandler>,
     ) -> Result<Rc<Self>, TransferError> {
         let (staged, have) = store.stage(manifest)?;
@@ -148,61 +152,61 @@
             planner: RefCell::new(planner),
             peers: RefCell::default(),
             sources,
-            budget,
+            pacer,
             handler,
-            bytes: ByteCounters::default(),
-            changed: Notify::new(),
+            counters: TransferCounters::default(),
+            plan_trigger: Notify::new(),
             started: Instant::now(),
-            store_until: Cell::new(None),
+            store_retry_at: Cell::new(None),
             stopped: Cell::new(false),
-            failure: RefCell::default(),
+            store_error: RefCell::default(),
         }))
     }
 
-    /// Takes in the announced swarm. New neighbours are asked what they have.
+    /// Replaces the announced swarm and starts to poll new neighbours for their chunk sets.
     pub fn set_swarm(self: &Rc<Self>, swarm: Vec<(PlannerPeer, Rc<dyn PeerSource>)>) {
         let peers: Vec<PlannerPeer> = swarm.iter().map(|(peer, _)| peer.clone()).collect();
         self.planner.borrow_mut().set_swarm(&peers);
         let names: Vec<InstanceName> = self.planner.borrow().neighbours().cloned().collect();
         self.peers.borrow_mut().retain(|name, _| names.contains(name));
         for (peer, source) in swarm {
-            let fresh = names.contains(&peer.name)
+            let is_new = names.contains(&peer.name)
                 && self.peers.borrow_mut().insert(peer.name.clone(), source).is_none();
-            if fresh {
-                actix_rt::spawn(self.clone().ask_neighbour(peer.name));
+            if is_new {
+                actix_rt::spawn(self.clone().poll_neighbour(peer.name));
             }
         }
-        self.changed.notify_one();
+        self.plan_trigger.notify_one();
     }
 
-    /// Gives up; fetches in progress are abandoned.
+    /// Stops the transfer; outcomes of fetches in flight are ignored.
     pub fn stop(&self) {
         self.stopped.set(true);
-        self.changed.notify_waiters();
-        self.changed.notify_one();
+        self.plan_trigger.notify_waiters();
+        self.plan_trigger.notify_one();
     }
 
-    /// What was done so far.
+    /// Progress and counters so far.
     pub fn report(&self) -> TransferReport {
         let planner = self.planner.borrow();
         TransferReport {
             chunks_have: planner.have().count(),
             chunks_total: self.manifest.chunk_count(),
-            origin_bytes: self.bytes.origin.get(),
-            store_bytes: self.bytes.store.get(),
-            peer_bytes: self.bytes.peers.get(),
+            origin_bytes: self.counters.origin_bytes.get(),
+            store_bytes: self.counters.store_bytes.get(),
+            peer_bytes: self.counters.peer_bytes.get(),
             cross_zone_chunks: planner.cross_zone_chunks(),
             bad_chunks: planner.bad_chunks(),
-            duplicate_chunks: self.bytes.wasted.get(),
-            have_requests: self.bytes.have_requests.get(),
+            duplicate_chunks: self.counters.duplicate_chunks.get(),
+            have_requests: self.counters.have_requests.get(),
         }
     }
 
-    /// Runs until the version is whole on disk.
+    /// Runs until the version is complete and verified on disk.
     ///
     /// # Errors
-    /// Ends when the disk refuses or the transfer is stopped. What is on disk stays, and a new
-    /// transfer of the same version goes on from it.
+    /// Fails if a file operation fails or the transfer is stopped. The chunks on disk stay, and a
+    /// new transfer of the same version resumes from them.
     pub async fn run(self: &Rc<Self>) -> Result<CompleteWeights, TransferError> {
         let mut ticks = tokio::time::interval(PLAN_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -210,7 +214,7 @@
             if self.stopped.get() {
                 return Err(TransferError::Stopped);
             }
-            if let Some(error) = self.failure.borrow_mut().take() {
+            if let Some(error) = self.store_error.borrow_mut().take() {
                 return Err(error.into());
             }
             if self.have.borrow().is_full() {
@@ -221,26 +225,26 @@
                 actix_rt::spawn(self.clone().fetch(order));
             }
             tokio::select! {
-                () = self.changed.notified() => {}
+                () = self.plan_trigger.notified() => {}
                 _ = ticks.tick() => {}
             }
         }
     }
 
     async fn finish(&self) -> Result<CompleteWeights, TransferError> {
-        // Reading and syncing gigabytes would stall this thread, so a blocking one does it.
+        // Reading and syncing gigabytes would block this thread's event loop.
         let staged = self.staged.clone();
-        let whole = actix_rt::task::spawn_blocking(move || staged.finish()).await;
-        let whole = whole.expect("the verifying task does not panic")?;
-        self.handler.share_complete(&whole)?;
-        Ok(whole)
+        let complete = actix_rt::task::spawn_blocking(move || staged.finish()).await;
+        let complete = complete.expect("the verifying task does not panic")?;
+        self.handler.share_complete(&complete)?;
+        Ok(complete)
     }
 
     fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    async fn ask_neighbour(self: Rc<Self>, name: InstanceName) {
+    async fn poll_neighbour(self: Rc<Self>, name: InstanceName) {
         let id = self.manifest.id();
         let mut known = 0;
         loop {
@@ -249,24 +253,24 @@
             if self.stopped.get() || self.have.borrow().is_full() {
                 return;
             }
-            self.bytes.have_requests.set(self.bytes.have_requests.get() + 1);
-            let pause = match source.have(id, known, HAVE_WAIT).await {
+            self.counters.have_requests.set(self.counters.have_requests.get() + 1);
+            let pause = match source.have(id, known, HAVE_POLL_WAIT).await {
                 Ok(text) => {
-                    known = self.take_have(&name, &text).unwrap_or(known);
-                    HAVE_INTERVAL
+                    known = self.apply_have(&name, &text).unwrap_or(known);
+                    HAVE_POLL_PAUSE
                 }
                 Err(SourceError::Busy(pause)) => pause,
-                Err(_) => HAVE_PAUSE,
+                Err(_) => FAILURE_RETRY_DELAY,
             };
             tokio::time::sleep(pause).await;
         }
     }
 
-    fn take_have(&self, name: &InstanceName, text: &str) -> Option<u32> {
+    fn apply_have(&self, name: &InstanceName, text: &str) -> Option<u32> {
         let have = ChunkSet::from_text(text, self.manifest.chunk_count())?;
         let count = have.count();
         self.planner.borrow_mut().apply_have(name, have, self.now());
-        self.changed.notify_one();
+        self.plan_trigger.notify_one();
         Some(count)
     }
 
@@ -277,25 +281,30 @@
         }
         match result {
             Ok(()) => {
-                let fresh = self.planner.borrow_mut().record_fetched(&order, self.now());
-                if fresh {
+                let is_new = self.planner.borrow_mut().record_fetched(&order, self.now());
+                if is_new {
                     self.have.borrow_mut().insert(order.chunk);
-                    self.handler.note_chunk(self.manifest.id());
+                    self.handler.notify_chunk(self.manifest.id());
                 } else {
-                    self.bytes.wasted.set(self.bytes.wasted.get() + 1);
+                    self.counters.duplicate_chunks.set(self.counters.duplicate_chunks.get() + 1);
                 }
             }
             Err(FetchError::Source(failure)) => {
-                tracing::debug!(chunk = order.chunk, source = ?order.source, ?failure, "no chunk");
+                tracing::debug!(
+                    chunk = order.chunk,
+                    source = ?order.source,
+                    ?failure,
+                    "chunk fetch failed"
+                );
                 self.planner.borrow_mut().record_failed(&order, failure, self.now());
             }
             Err(FetchError::Store(error)) => {
                 let failure = FetchFailure::Unreachable;
                 self.planner.borrow_mut().record_failed(&order, failure, self.now());
-                *self.failure.borrow_mut() = Some(error);
+                *self.store_error.borrow_mut() = Some(error);
             }
         }
-        self.changed.notify_one();
+        self.plan_trigger.notify_one();
     }
 
     async fn fetch_chunk(&self, order: &FetchOrder) -> Result<(), FetchError> {
@@ -309,83 +318,86 @@
         match &order.source {
             SourceChoice::Upstream => {
                 let (stream, counter) = self.open_upstream(&request).await?;
-                // A busy origin serves many at a time and may be long in coming to each.
-                let limit = self.options.progress_limit * UPSTREAM_PATIENCE;
-                self.take_bytes(order.chunk, stream, counter, limit).await
+                // A busy origin serves many instances at a time, so each may wait long for bytes.
+                let idle_timeout = self.options.idle_timeout * UPSTREAM_TIMEOUT_FACTOR;
+                self.receive_chunk(order.chunk, stream, counter, idle_timeout).await
             }
             SourceChoice::Peer(name) => {
                 let peer = self.peers.borrow().get(name).cloned();
                 let peer = peer.ok_or(FetchError::Source(FetchFailure::Unreachable))?;
-                let limit = self.options.progress_limit;
-                let begun = tokio::time::timeout(limit, peer.chunk(&request)).await;
-                let begun = begun.map_err(|_| FetchError::Source(FetchFailure::Unreachable))?;
-                let mut stream = begun?;
+                let idle_timeout = self.options.idle_timeout;
+                let stream = tokio::time::timeout(idle_timeout, peer.chunk(&request)).await;
+                let stream = stream.map_err(|_| FetchError::Source(FetchFailure::Unreachable))?;
+                let mut stream = stream?;
                 if let Some(text) = stream.have.take() {
-                    self.take_have(name, &text);
+                    self.apply_have(name, &text);
                 }
-                self.take_bytes(order.chunk, stream, &self.bytes.peers, limit).await
+                self.receive_chunk(order.chunk, stream, &self.counters.peer_bytes, idle_timeout)
+                    .await
             }
         }
     }
 
-    /// The store is preferred; while it refuses, the origin serves.
+    /// Requests the chunk from the store if there is one, else from the origin. After a failed
+    /// request to the store, the origin is used until the store's retry delay has passed.
     async fn open_upstream(
         &self,
         request: &ChunkRequest,
     ) -> Result<(ChunkStream, &Cell<u64>), FetchError> {
-        let store_open = self.store_until.get().is_none_or(|until| Instant::now() >= until);
-        if let Some(store) = self.sources.store.as_ref().filter(|_| store_open) {
+        let store_usable =
+            self.store_retry_at.get().is_none_or(|retry_at| Instant::now() >= retry_at);
+        if let Some(store) = self.sources.store.as_ref().filter(|_| store_usable) {
             match store.chunk(request).await {
-                Ok(stream) => return Ok((stream, &self.bytes.store)),
+                Ok(stream) => return Ok((stream, &self.counters.store_bytes)),
                 Err(error) => {
-                    let pause = store_pause(&error);
-                    tracing::debug!(%error, "the store gave nothing");
-                    self.store_until.set(Some(Instant::now() + pause));
+                    let delay = store_retry_delay(&error);
+                    tracing::debug!(%error, "store request failed, using the origin");
+                    self.store_retry_at.set(Some(Instant::now() + delay));
                 }
             }
         }
         let stream = self.sources.origin.chunk(request).await?;
-        Ok((stream, &self.bytes.origin))
+        Ok((stream, &self.counters.origin_bytes))
     }
 
-    /// Writes a chunk as it arrives and checks it. The bytes count as present only after the
-    /// check, so what is written of a bad chunk is merely overwritten by the next try.
+    /// Writes a chunk to disk as it arrives and verifies its digest at the end. The chunk counts as
+    /// present only once verified, so the next attempt overwrites the bytes of a corrupted one.
     ///
-    /// A hedged second fetch of the same chunk writes the same place; whichever passes the check
-    /// first wins, and [`StagedWeights::finish`] reads everything back in case a slower, bad one
-    /// wrote over it afterwards. To keep that from happening, a fetch stops writing as soon as
-    /// the chunk is present.
-    async fn take_bytes(
+    /// A hedged second fetch of the same chunk writes to the same range; the first fetch to be
+    /// verified counts. The slower one could then overwrite the chunk with corrupted bytes, so a
+    /// fetch stops writing as soon as the chunk is present. In case bytes are overwritten all the
+    /// same, [`StagedWeights::finish`] verifies every chunk again.
+    async fn receive_chunk(
         &self,
         chunk: ChunkIndex,
         mut stream: ChunkStream,
         counter: &Cell<u64>,
-        limit: Duration,
+        idle_timeout: Duration,
     ) -> Result<(), FetchError> {
         let range = self.manifest.range(chunk);
         let expected = range.end - range.start;
         let mut hasher = blake3::Hasher::new();
-        let mut taken = 0;
+        let mut received = 0;
         loop {
-            let next = tokio::time::timeout(limit, stream.bytes.next()).await;
+            let next = tokio::time::timeout(idle_timeout, stream.bytes.next()).await;
             let next = next.map_err(|_| FetchError::Source(FetchFailure::Unreachable))?;
             let Some(piece) = next else { break };
             let piece = piece?;
             counter.set(counter.get() + piece.len() as u64);
             self.planner.borrow_mut().record_progress(self.now());
-            if taken + piece.len() as u64 > expected {
+            if received + piece.len() as u64 > expected {
                 return Err(FetchError::Source(FetchFailure::Corrupt));
             }
-            self.budget.acquire(piece.len()).await;
+            self.pacer.acquire(piece.len()).await;
             if self.have.borrow().contains(chunk) {
                 return Ok(());
             }
             hasher.update(&piece);
-            self.staged.write_at(chunk, taken, &piece).map_err(FetchError::Store)?;
-            taken += piece.len() as u64;
+            self.staged.write_at(chunk, received, &piece).map_err(FetchError::Store)?;
+            received += piece.len() as u64;
         }
         let digest = ChunkDigest::from(*hasher.finalize().as_bytes());
-        if taken != expected || self.manifest.digest(chunk) != Some(digest) {
+        if received != expected || self.manifest.digest(chunk) != Some(digest) {
             return Err(FetchError::Source(FetchFailure::Corrupt));
         }
         Ok(())
@@ -400,20 +412,20 @@
 impl From<SourceError> for FetchError {
     fn from(error: SourceError) -> Self {
         let failure = match error {
-            SourceError::Busy(pause) => FetchFailure::Busy(pause),
+            SourceError::Busy(delay) => FetchFailure::Busy(delay),
             SourceError::Absent => FetchFailure::Absent,
             SourceError::Unreachable(_) => FetchFailure::Unreachable,
-            SourceError::Unusable(_) => FetchFailure::Corrupt,
+            SourceError::InvalidResponse(_) => FetchFailure::Corrupt,
         };
         Self::Source(failure)
     }
 }
 
-fn store_pause(error: &SourceError) -> Duration {
-    const ABSENT_PAUSE: Duration = Duration::from_secs(5);
+fn store_retry_delay(error: &SourceError) -> Duration {
+    const NO_CHUNK_RETRY_DELAY: Duration = Duration::from_secs(5);
     match error {
-        SourceError::Busy(pause) => *pause,
-        SourceError::Absent | SourceError::Unusable(_) => ABSENT_PAUSE,
-        SourceError::Unreachable(_) => HAVE_PAUSE,
+        SourceError::Busy(delay) => *delay,
+        SourceError::Absent | SourceError::InvalidResponse(_) => NO_CHUNK_RETRY_DELAY,
+        SourceError::Unreachable(_) => FAILURE_RETRY_DELAY,
     }
 }
