--- a/crates/swarm/src/store.rs
+++ b/crates/swarm/src/store.rs
@@ -1,4 +1,4 @@
-//! Weights on disk: `staging/<id>/` while chunks arrive, `whole/<id>/` once verified.
+//! Weights on disk: `staging/<id>/` while chunks arrive, `whole/<id>/` once complete and verified.
 
 use crate::{
     chunk_set::ChunkSet,
@@ -14,35 +14,35 @@
 };
 use thiserror::Error;
 
-const STAGING: &str = "staging";
-const WHOLE: &str = "whole";
+const STAGING_FOLDER: &str = "staging";
+const COMPLETE_FOLDER: &str = "whole";
 const DATA_FILE: &str = "data";
 const MANIFEST_FILE: &str = "manifest.json";
 
-/// What went wrong with weights on disk.
+/// Errors of weights on disk.
 #[derive(Debug, Error)]
 pub enum WeightStoreError {
-    /// The file system refused; the disk may be full.
+    /// A file operation failed, for example because the disk is full.
     #[error("{action} {path}: {source}")]
     Io {
-        /// What was tried.
+        /// The operation.
         action: &'static str,
-        /// On which file.
+        /// The file or folder.
         path: PathBuf,
-        /// Why it failed.
+        /// The cause.
         source: io::Error,
     },
-    /// A stored manifest contradicts itself.
-    #[error("{path}: {source}")]
-    Manifest {
+    /// A stored manifest fails validation.
+    #[error("invalid manifest {path}: {source}")]
+    InvalidManifest {
         /// The file.
         path: PathBuf,
         /// What is wrong.
         source: ManifestError,
     },
-    /// A stored manifest is not JSON, or not the one its folder is named for.
-    #[error("{path}: {detail}")]
-    BadFile {
+    /// A stored manifest cannot be parsed, or its id is not the name of its folder.
+    #[error("unusable manifest {path}: {detail}")]
+    UnusableManifest {
         /// The file.
         path: PathBuf,
         /// What is wrong.
@@ -50,34 +50,34 @@
     },
     /// A chunk on disk does not match its digest.
     #[error("chunk {chunk} on disk does not match its digest")]
-    Damaged {
-        /// Which.
+    CorruptedChunk {
+        /// Number of the chunk.
         chunk: u32,
     },
     /// Some chunks are missing.
     #[error("{missing} chunks are missing")]
     Incomplete {
-        /// How many.
+        /// Number of missing chunks.
         missing: u32,
     },
 }
 
-/// The folder that weights live in.
+/// Folder that holds staged and complete weights.
 #[derive(Clone, Debug)]
 pub struct WeightStore {
     folder: PathBuf,
 }
 
-/// A version of which chunks are arriving.
+/// A version under `staging/`, whose chunks are being fetched.
 #[derive(Debug)]
 pub struct StagedWeights {
     manifest: WeightManifest,
     file: File,
     folder: PathBuf,
-    whole_folder: PathBuf,
+    complete_folder: PathBuf,
 }
 
-/// A version that is whole.
+/// A version under `whole/`, whose chunks were all verified before it was moved there.
 #[derive(Clone, Debug)]
 pub struct CompleteWeights {
     manifest: WeightManifest,
@@ -85,28 +85,29 @@
 }
 
 impl WeightStore {
-    /// Uses `folder`, making it if need be.
+    /// Opens the store in `folder`, creating it and its subfolders if they are missing.
     ///
     /// # Errors
-    /// Fails if the folder cannot be made.
+    /// Fails if a folder cannot be created.
     pub fn open(folder: &Path) -> Result<Self, WeightStoreError> {
-        for name in [STAGING, WHOLE] {
+        for name in [STAGING_FOLDER, COMPLETE_FOLDER] {
             let path = folder.join(name);
             fs::create_dir_all(&path).map_err(|e| io_error("create", &path, e))?;
         }
         Ok(Self { folder: folder.to_owned() })
     }
 
-    /// Stages a version; returns what of it is already on disk, verified again. Chunks that some
-    /// whole version also has, by digest, are copied from there instead of fetched.
+    /// Stages a version and returns the chunks of it that are already on disk, verified again.
+    /// Chunks whose digest also occurs in a complete version are copied from there, so that they
+    /// need not be fetched.
     ///
     /// # Errors
-    /// Fails if the disk refuses.
+    /// Fails if a file operation fails.
     pub fn stage(
         &self,
         manifest: &WeightManifest,
     ) -> Result<(StagedWeights, ChunkSet), WeightStoreError> {
-        let folder = self.folder.join(STAGING).join(manifest.id().to_string());
+        let folder = self.folder.join(STAGING_FOLDER).join(manifest.id().to_string());
         fs::create_dir_all(&folder).map_err(|e| io_error("create", &folder, e))?;
         write_manifest(&folder, manifest)?;
         let path = folder.join(DATA_FILE);
@@ -117,11 +118,11 @@
             .truncate(false)
             .open(&path)
             .map_err(|e| io_error("open", &path, e))?;
-        let had = file.metadata().map_err(|e| io_error("inspect", &path, e))?.len();
+        let previous_length = file.metadata().map_err(|e| io_error("inspect", &path, e))?.len();
         file.set_len(manifest.total_bytes()).map_err(|e| io_error("size", &path, e))?;
-        let whole_folder = self.folder.join(WHOLE).join(manifest.id().to_string());
-        let staged = StagedWeights { manifest: manifest.clone(), file, folder, whole_folder };
-        let mut have = staged.verify_present(had)?;
+        let complete_folder = self.folder.join(COMPLETE_FOLDER).join(manifest.id().to_string());
+        let staged = StagedWeights { manifest: manifest.clone(), file, folder, complete_folder };
+        let mut have = staged.verify_present(previous_length)?;
         self.reuse_chunks(&staged, &mut have)?;
         Ok((staged, have))
     }
@@ -131,20 +132,23 @@
         staged: &StagedWeights,
         have: &mut ChunkSet,
     ) -> Result<(), WeightStoreError> {
-        for whole in self.list_complete()? {
-            let source = whole.open()?;
-            let known: IndexMap<ChunkDigest, u32> = (0..whole.manifest.chunk_count())
-                .filter_map(|chunk| Some((whole.manifest.digest(chunk)?, chunk)))
+        for complete in self.list_complete()? {
+            let source = complete.open()?;
+            let chunks_by_digest: IndexMap<ChunkDigest, u32> = (0..complete.manifest.chunk_count())
+                .filter_map(|chunk| Some((complete.manifest.digest(chunk)?, chunk)))
                 .collect();
             for chunk in 0..staged.manifest.chunk_count() {
                 let digest = staged.manifest.digest(chunk);
-                let Some(other) = digest.and_then(|digest| known.get(&digest)) else { continue };
+                let Some(source_chunk) = digest.and_then(|digest| chunks_by_digest.get(&digest))
+                else {
+                    continue;
+                };
                 if have.contains(chunk) {
                     continue;
                 }
-                let range = whole.manifest.range(*other);
+                let range = complete.manifest.range(*source_chunk);
                 let mut bytes = vec![0; (range.end - range.start) as usize];
-                let path = whole.data_path();
+                let path = complete.data_path();
                 source
                     .read_exact_at(&mut bytes, range.start)
                     .map_err(|e| io_error("read", &path, e))?;
@@ -157,61 +161,65 @@
         Ok(())
     }
 
-    /// All whole versions.
+    /// All complete versions, ordered by id. Versions with an unusable manifest are left out.
+    /// Chunks are not verified.
     ///
     /// # Errors
     /// Fails if the folder cannot be read.
     pub fn list_complete(&self) -> Result<Vec<CompleteWeights>, WeightStoreError> {
-        let path = self.folder.join(WHOLE);
+        let path = self.folder.join(COMPLETE_FOLDER);
         let mut found = Vec::new();
         for entry in fs::read_dir(&path).map_err(|e| io_error("list", &path, e))? {
             let entry = entry.map_err(|e| io_error("list", &path, e))?;
-            match read_whole(&entry.path()) {
-                Ok(whole) => found.push(whole),
-                Err(error) => tracing::warn!(%error, "weights on disk are not usable"),
+            match read_complete(&entry.path()) {
+                Ok(complete) => found.push(complete),
+                Err(error) => {
+                    tracing::warn!(%error, "version on disk skipped: its manifest is unusable")
+                }
             }
         }
-        found.sort_by_key(|whole| whole.manifest.id());
+        found.sort_by_key(|complete| complete.manifest.id());
         Ok(found)
     }
 
-    /// The whole version with this identity, verified byte by byte, if it is here. A damaged one
-    /// is removed, so that it is fetched again.
+    /// The complete version with this id, with all chunks verified, or `None` if it is not on disk.
+    /// A version that cannot be read or fails verification is removed, so that it is fetched again.
     ///
     /// # Errors
-    /// Fails if the disk refuses.
+    /// Fails if a file operation fails.
     pub fn find_complete(
         &self,
         id: ManifestId,
     ) -> Result<Option<CompleteWeights>, WeightStoreError> {
-        let folder = self.folder.join(WHOLE).join(id.to_string());
+        let folder = self.folder.join(COMPLETE_FOLDER).join(id.to_string());
         if !folder.exists() {
             return Ok(None);
         }
-        let checked = read_whole(&folder).and_then(|whole| {
-            let file = whole.open()?;
-            verify_all(&whole.manifest, &file, &whole.data_path())?;
-            Ok(whole)
+        let checked = read_complete(&folder).and_then(|complete| {
+            let file = complete.open()?;
+            verify_all(&complete.manifest, &file, &complete.data_path())?;
+            Ok(complete)
         });
         match checked {
-            Ok(whole) if whole.manifest.id() == id => Ok(Some(whole)),
+            Ok(complete) if complete.manifest.id() == id => Ok(Some(complete)),
             Ok(_) | Err(_) => {
-                tracing::warn!(%id, "weights on disk are damaged and are removed");
+                tracing::warn!(%id, "version on disk is unreadable or corrupted; removing it");
                 fs::remove_dir_all(&folder).map_err(|e| io_error("remove", &folder, e))?;
                 Ok(None)
             }
         }
     }
 
-    /// Removes every version, whole or staged, that is not in `keep`. Returns the bytes freed.
+    /// Removes every version, complete or staged, that is not in `keep`. Returns the size of the
+    /// removed data files in bytes.
     ///
     /// # Errors
-    /// Fails if the disk refuses.
+    /// Fails if a file operation fails.
     pub fn retain(&self, keep: &[ManifestId]) -> Result<u64, WeightStoreError> {
         let names: Vec<String> = keep.iter().map(ManifestId::to_string).collect();
         let mut freed = 0;
-        for part in [STAGING, WHOLE] {
-            let path = self.folder.join(part);
+        for subfolder in [STAGING_FOLDER, COMPLETE_FOLDER] {
+            let path = self.folder.join(subfolder);
             for entry in fs::read_dir(&path).map_err(|e| io_error("list", &path, e))? {
                 let entry = entry.map_err(|e| io_error("list", &path, e))?;
                 let name = entry.file_name().to_string_lossy().into_owned();
@@ -227,14 +235,14 @@
         Ok(freed)
     }
 
-    /// Bytes taken by all versions, whole or staged.
+    /// Size in bytes of the data files of all versions, complete and staged.
     ///
     /// # Errors
     /// Fails if the folder cannot be read.
     pub fn used_bytes(&self) -> Result<u64, WeightStoreError> {
         let mut used = 0;
-        for part in [STAGING, WHOLE] {
-            let path = self.folder.join(part);
+        for subfolder in [STAGING_FOLDER, COMPLETE_FOLDER] {
+            let path = self.folder.join(subfolder);
             for entry in fs::read_dir(&path).map_err(|e| io_error("list", &path, e))? {
                 let entry = entry.map_err(|e| io_error("list", &path, e))?;
                 used += fs::metadata(entry.path().join(DATA_FILE)).map_or(0, |data| data.len());
@@ -245,62 +253,64 @@
 }
 
 impl StagedWeights {
-    /// What is being staged.
+    /// Manifest of the staged version.
     pub fn manifest(&self) -> &WeightManifest {
         &self.manifest
     }
 
-    /// Writes part of a chunk, `offset` bytes into it. The chunk counts as present only when the
-    /// caller has checked its digest.
+    /// Writes part of a chunk at `offset` bytes from the chunk's start. The caller must check the
+    /// chunk's digest before it counts the chunk as present.
     ///
     /// # Errors
-    /// Fails if the disk refuses, for example because it is full.
+    /// Fails if the file cannot be written, for example because the disk is full.
     pub fn write_at(&self, chunk: u32, offset: u64, bytes: &[u8]) -> Result<(), WeightStoreError> {
         let start = self.manifest.range(chunk).start + offset;
         let path = || self.folder.join(DATA_FILE);
         self.file.write_all_at(bytes, start).map_err(|e| io_error("write", &path(), e))
     }
 
-    /// Reads part of a chunk.
+    /// Fills `bytes` from the data file, from byte `start` of the weights on.
     ///
     /// # Errors
-    /// Fails if the disk refuses.
+    /// Fails if the file cannot be read.
     pub fn read_at(&self, start: u64, bytes: &mut [u8]) -> Result<(), WeightStoreError> {
         let path = || self.folder.join(DATA_FILE);
         self.file.read_exact_at(bytes, start).map_err(|e| io_error("read", &path(), e))
     }
 
-    /// Verifies the whole file once more, syncs it and moves it to where engines load from.
+    /// Verifies all chunks once more, syncs the data file and moves its folder to `whole/`, from
+    /// which engines load.
     ///
-    /// Failure guarded: an engine that loads while chunks are missing, damaged on disk, or not yet
-    /// synced when the power fails. It would show as wrong answers from one instance. The engine
-    /// is given only paths under `whole/`, and this rename is the only way a folder gets there.
+    /// An engine that loaded weights whose chunks are missing, corrupted on disk or not yet synced
+    /// when the power failed would give wrong answers, on this instance only. Engines are therefore
+    /// given only paths under `whole/`, and this rename is the only way a folder gets there.
     ///
     /// # Errors
-    /// Fails if a chunk does not match or the disk refuses; nothing is moved then.
+    /// Fails if a chunk does not match its digest, in which case the folder is not moved, or if a
+    /// file operation fails.
     pub fn finish(&self) -> Result<CompleteWeights, WeightStoreError> {
         let path = self.folder.join(DATA_FILE);
         verify_all(&self.manifest, &self.file, &path)?;
         self.file.sync_all().map_err(|e| io_error("sync", &path, e))?;
         sync_folder(&self.folder)?;
-        if self.whole_folder.exists() {
-            // A crash between rename and sync can leave both; the verified one replaces it.
-            fs::remove_dir_all(&self.whole_folder)
-                .map_err(|e| io_error("remove", &self.whole_folder, e))?;
+        if self.complete_folder.exists() {
+            // Left by a crash between rename and sync; the version just verified replaces it.
+            fs::remove_dir_all(&self.complete_folder)
+                .map_err(|e| io_error("remove", &self.complete_folder, e))?;
         }
-        fs::rename(&self.folder, &self.whole_folder)
+        fs::rename(&self.folder, &self.complete_folder)
             .map_err(|e| io_error("rename", &self.folder, e))?;
-        if let Some(parent) = self.whole_folder.parent() {
+        if let Some(parent) = self.complete_folder.parent() {
             sync_folder(parent)?;
         }
-        read_whole(&self.whole_folder)
+        read_complete(&self.complete_folder)
     }
 
-    fn verify_present(&self, had: u64) -> Result<ChunkSet, WeightStoreError> {
+    fn verify_present(&self, previous_length: u64) -> Result<ChunkSet, WeightStoreError> {
         let mut have = ChunkSet::new(self.manifest.chunk_count());
         let path = self.folder.join(DATA_FILE);
         for chunk in 0..self.manifest.chunk_count() {
-            if self.manifest.range(chunk).end > had {
+            if self.manifest.range(chunk).end > previous_length {
                 break;
             }
             if verify_chunk(&self.manifest, &self.file, chunk, &path)? {
@@ -312,7 +322,7 @@
 }
 
 impl CompleteWeights {
-    /// What is here.
+    /// Manifest of the version.
     pub fn manifest(&self) -> &WeightManifest {
         &self.manifest
     }
@@ -322,33 +332,34 @@
         self.folder.join(DATA_FILE)
     }
 
-    /// Opens the file for reading.
+    /// Opens the data file for reading.
     ///
     /// # Errors
-    /// Fails if the disk refuses.
+    /// Fails if the file cannot be opened.
     pub fn open(&self) -> Result<File, WeightStoreError> {
         let path = self.data_path();
         File::open(&path).map_err(|e| io_error("open", &path, e))
     }
 }
 
-fn read_whole(folder: &Path) -> Result<CompleteWeights, WeightStoreError> {
+fn read_complete(folder: &Path) -> Result<CompleteWeights, WeightStoreError> {
     let path = folder.join(MANIFEST_FILE);
     let text = fs::read(&path).map_err(|e| io_error("read", &path, e))?;
-    let bad = |detail: String| WeightStoreError::BadFile { path: path.clone(), detail };
-    let raw: RawManifest = serde_json::from_slice(&text).map_err(|e| bad(e.to_string()))?;
+    let unusable =
+        |detail: String| WeightStoreError::UnusableManifest { path: path.clone(), detail };
+    let raw: RawManifest = serde_json::from_slice(&text).map_err(|e| unusable(e.to_string()))?;
     let manifest = WeightManifest::try_from(raw)
-        .map_err(|source| WeightStoreError::Manifest { path: path.clone(), source })?;
-    let named = folder.file_name().map(|name| name.to_string_lossy().into_owned());
-    if named != Some(manifest.id().to_string()) {
-        return Err(bad("the manifest is not the one the folder is named for".to_owned()));
+        .map_err(|source| WeightStoreError::InvalidManifest { path: path.clone(), source })?;
+    let folder_name = folder.file_name().map(|name| name.to_string_lossy().into_owned());
+    if folder_name != Some(manifest.id().to_string()) {
+        return Err(unusable("the manifest is not the one the folder is named for".to_owned()));
     }
     Ok(CompleteWeights { manifest, folder: folder.to_owned() })
 }
 
 fn write_manifest(folder: &Path, manifest: &WeightManifest) -> Result<(), WeightStoreError> {
     let path = folder.join(MANIFEST_FILE);
-    let text = serde_json::to_vec(manifest.raw()).expect("our own types encode to JSON");
+    let text = serde_json::to_vec(manifest.raw()).expect("a manifest serializes to JSON");
     fs::write(&path, text).map_err(|e| io_error("write", &path, e))?;
     let file = File::open(&path).map_err(|e| io_error("open", &path, e))?;
     file.sync_all().map_err(|e| io_error("sync", &path, e))
@@ -357,7 +368,7 @@
 fn verify_all(manifest: &WeightManifest, file: &File, path: &Path) -> Result<(), WeightStoreError> {
     for chunk in 0..manifest.chunk_count() {
         if !verify_chunk(manifest, file, chunk, path)? {
-            return Err(WeightStoreError::Damaged { chunk });
+            return Err(WeightStoreError::CorruptedChunk { chunk });
         }
     }
     Ok(())
@@ -373,17 +384,17 @@
     let mut buffer = vec![0; BUFFER_BYTES];
     let mut hasher = blake3::Hasher::new();
     let range = manifest.range(chunk);
-    let mut at = range.start;
-    while at < range.end {
-        let length = ((range.end - at) as usize).min(BUFFER_BYTES);
+    let mut offset = range.start;
+    while offset < range.end {
+        let length = ((range.end - offset) as usize).min(BUFFER_BYTES);
         let piece = &mut buffer[..length];
-        match file.read_exact_at(piece, at) {
+        match file.read_exact_at(piece, offset) {
             Ok(()) => {}
             Err(error) if error.kind() == io::ErrorKind::UnexpectedEof => return Ok(false),
             Err(error) => return Err(io_error("read", path, error)),
         }
         hasher.update(piece);
-        at += length as u64;
+        offset += length as u64;
     }
     let digest = ChunkDigest::from(*hasher.finalize().as_bytes());
     Ok(manifest.digest(chunk) == Some(digest))
