--- a/crates/replica/tests/founding.rs
+++ b/crates/replica/tests/founding.rs
@@ -13,7 +13,7 @@
         if !output.writes.is_empty() {
             store.write(&output.writes).expect("the folder takes writes");
         }
-        node.synced();
+        node.record_sync();
     }
 }
 
@@ -30,6 +30,6 @@
         assert!(node.is_leader());
         node.propose(vec![1, 2, 3]).expect("a leader takes proposals");
         settle(&mut node, &mut store);
-        assert_eq!(node.status().commit, node.status().last);
+        assert_eq!(node.status().commit_index, node.status().last_index);
     }
 }
--- a/crates/testkit/src/group.rs
+++ b/crates/testkit/src/group.rs
@@ -391,7 +391,7 @@
             replay(&mut member.disk, write);
         }
         if let Some(node) = member.node.as_mut() {
-            node.synced();
+            node.record_sync();
         }
         self.network.extend(output.send_after_sync);
         if let Some(image) = output.restore {
@@ -402,12 +402,12 @@
         for entry in output.committed {
             self.apply(number, &entry);
         }
-        for grant in output.reads {
-            let Some((accepted, result)) = self.reads.get_mut(&grant.token.0) else { continue };
-            if let Some(index) = grant.index {
+        for outcome in output.reads {
+            let Some((accepted, result)) = self.reads.get_mut(&outcome.token.0) else { continue };
+            if let Some(index) = outcome.index {
                 assert!(index >= *accepted, "a read was confirmed behind what was accepted");
             }
-            *result = Some(grant.index);
+            *result = Some(outcome.index);
         }
     }
 
--- a/tests/all/group_repair.rs
+++ b/tests/all/group_repair.rs
@@ -22,7 +22,7 @@
 fn leader_status(membership: &Membership, silent_millis: &[(u64, u64)]) -> NodeStatus {
     let progress = silent_millis.iter().map(|(id, millis)| MemberProgress {
         id: MemberId(*id),
-        matched: LogIndex(10),
+        match_index: LogIndex(10),
         silent_for: Duration::from_millis(*millis),
     });
     NodeStatus {
@@ -30,9 +30,9 @@
         role: NodeRole::Leader,
         term: Term(2),
         leader: Some(LEADER),
-        commit: LogIndex(10),
-        last: LogIndex(10),
-        first: LogIndex(1),
+        commit_index: LogIndex(10),
+        last_index: LogIndex(10),
+        first_index: LogIndex(1),
         membership: membership.clone(),
         progress: progress.collect(),
     }
