--- a/crates/replica/src/message.rs
+++ b/crates/replica/src/message.rs
@@ -1,10 +1,10 @@
-//! What members say to each other and what a node asks its driver to write.
+//! Messages between members, log entries, and the writes that a node requests from its driver.
 
 use crate::membership::{MemberId, Membership};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-macro_rules! counter {
+macro_rules! u64_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -14,7 +14,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The following number.
+            /// The next number.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -33,44 +33,46 @@
     };
 }
 
-counter! {
+u64_newtype! {
     /// Position in the log; the first entry has index 1.
     LogIndex
 }
-counter! {
+u64_newtype! {
     /// Election term.
     Term
 }
-counter! {
-    /// Driver's own number for one pending read.
+u64_newtype! {
+    /// Number by which a driver identifies one pending read.
     ReadToken
 }
 
-/// Random id of a group, drawn at founding. Messages of another group are dropped, so two groups
-/// founded by mistake can never mix their logs.
+/// Random id of a group, generated when the group is created. Messages of another group are
+/// dropped, so that two groups created by mistake cannot mix their logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GroupId(pub u64);
 
-/// What an entry holds.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// Nothing; a new leader's first entry, which commits what earlier terms left.
+    /// The first entry of a new leader. Committing it also commits the entries of earlier terms.
     Noop,
-    /// A command of the embedding state machine.
+    /// An encoded command of the state machine that the log replicates.
     Command(Vec<u8>),
     /// The membership from this entry on; in force as soon as it is appended.
     Membership(Membership),
 }
 
 impl EntryPayload {
-    /// Rough size in bytes, for batching.
+    /// Approximate size in bytes, for batching.
     pub(crate) fn size(&self) -> usize {
-        const OVERHEAD: usize = 24;
+        const ENTRY_OVERHEAD_BYTES: usize = 24;
         match self {
-            Self::Noop => OVERHEAD,
-            Self::Command(bytes) => OVERHEAD + bytes.len(),
-            Self::Membership(membership) => OVERHEAD + 64 * membership.members().count(),
+            Self::Noop => ENTRY_OVERHEAD_BYTES,
+            Self::Command(bytes) => ENTRY_OVERHEAD_BYTES + bytes.len(),
+            Self::Membership(membership) => {
+                ENTRY_OVERHEAD_BYTES + 64 * membership.members().count()
+            }
         }
     }
 }
@@ -78,26 +80,26 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Position.
+    /// Position in the log.
     pub index: LogIndex,
     /// Term of the leader that appended it.
     pub term: Term,
-    /// Content.
+    /// Content of the entry.
     pub payload: EntryPayload,
 }
 
-/// State that must be on disk before a vote or an answer in a term leaves.
+/// State that must be on disk before a vote or an acknowledgement of the term is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The group, once known; a joining member learns it from the first leader that writes to it.
     pub group: Option<GroupId>,
     /// Latest term seen.
     pub term: Term,
-    /// Whom this member voted for in that term.
+    /// Candidate that this member voted for in that term.
     pub voted_for: Option<MemberId>,
 }
 
-/// The state machine's content at one index, standing for all entries up to it.
+/// Encoded state of the state machine at one index; it replaces all entries up to that index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotImage {
     /// Last entry covered.
@@ -106,7 +108,7 @@
     pub term: Term,
     /// Membership at that entry.
     pub membership: Membership,
-    /// Content, opaque to the log.
+    /// The encoded state, opaque to the log.
     pub data: Vec<u8>,
 }
 
@@ -119,50 +121,51 @@
     Truncate(LogIndex),
     /// Appends entries that follow the last one.
     Append(Vec<LogEntry>),
-    /// Replaces everything up to the snapshot's index; entries behind it are kept only if
+    /// Replaces all entries up to the snapshot's index; entries after it are kept only if
     /// `keep_tail` is set.
     Snapshot {
         /// The snapshot.
         image: SnapshotImage,
-        /// Whether entries behind the snapshot still belong to the log.
+        /// Whether entries after the snapshot still belong to the log.
         keep_tail: bool,
     },
-    /// Notes that everything up to this index is committed. Without it a member knows after a
-    /// restart only what a leader tells it, and has nothing to serve while none is elected.
+    /// Records that all entries up to this index are committed. Without it, a restarted member
+    /// learns the commit index only from a leader and has nothing to serve until one is elected.
     Commit(LogIndex),
 }
 
-/// A confirmed read: state at or behind `index` is current as of the read's start.
+/// Outcome of a read. Once the entry at `index` is applied, the state is at least as recent as the
+/// start of the read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadOutcome {
     /// The driver's number for the read.
     pub token: ReadToken,
     /// Index that must be applied before the read is answered; `None` if the read was dropped
-    /// because the leader changed.
+    /// because the leader changed or none was known.
     pub index: Option<LogIndex>,
 }
 
-/// A message and its addressee.
+/// A message with its sender, recipient and term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Group of the sender.
     pub group: GroupId,
     /// Sender.
     pub from: MemberId,
-    /// Addressee.
+    /// Recipient.
     pub to: MemberId,
     /// Sender's term.
     pub term: Term,
-    /// Content.
+    /// The message itself.
     pub message: Message,
 }
 
-/// What one member says to another.
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether a vote would be granted, without disturbing anyone's term.
+    /// Asks whether a vote would be granted, without changing any member's term.
     PreVote {
-        /// Term the sender would campaign in.
+        /// Term in which the sender would campaign.
         campaign: Term,
         /// Sender's last entry.
         last_index: LogIndex,
@@ -185,10 +188,10 @@
     },
     /// Answers a vote request.
     VoteReply {
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Appends entries; empty as a heartbeat.
+    /// Appends entries; a heartbeat may carry none.
     Append {
         /// Index before the first entry sent.
         previous_index: LogIndex,
@@ -198,12 +201,12 @@
         entries: Vec<LogEntry>,
         /// Leader's commit index.
         commit: LogIndex,
-        /// Heartbeat round, echoed by the reply; confirms reads.
+        /// Heartbeat round, echoed in the reply; the replies of a quorum confirm pending reads.
         round: u64,
     },
     /// Answers an append.
     AppendReply {
-        /// On success, the last index known to match; otherwise the index to try from.
+        /// If `matched`, the last index known to match; otherwise the index from which to retry.
         index: LogIndex,
         /// Whether the logs matched.
         matched: bool,
@@ -220,16 +223,16 @@
         membership: Membership,
         /// Offset of this piece in bytes.
         offset: u64,
-        /// Size of the whole in bytes.
+        /// Size of the snapshot in bytes.
         total: u64,
-        /// CRC-32 of the whole.
+        /// CRC-32 of the snapshot.
         checksum: u32,
         /// Bytes of this piece.
         piece: Vec<u8>,
         /// Heartbeat round.
         round: u64,
     },
-    /// Answers a piece.
+    /// Answers a snapshot piece.
     SnapshotReply {
         /// Last entry covered by the snapshot.
         index: LogIndex,
@@ -240,18 +243,18 @@
     },
     /// Asks the leader to confirm a read.
     Read {
-        /// Asker's number.
+        /// Token chosen by the member that reads.
         token: ReadToken,
     },
-    /// Confirms a read, or drops it.
+    /// Answers a read request: the read is confirmed or dropped.
     ReadReply {
-        /// Asker's number.
+        /// Token chosen by the member that reads.
         token: ReadToken,
         /// See [`ReadOutcome::index`].
         index: Option<LogIndex>,
     },
-    /// Asks the addressee to campaign at once, because the leader is stopping.
+    /// Asks the recipient to campaign at once, because the leader is stopping.
     TimeoutNow,
-    /// Tells the addressee that it was removed from the group.
+    /// Tells the recipient that it was removed from the group.
     NotMember,
 }
--- a/crates/replica/src/node/output.rs
+++ b/crates/replica/src/node/output.rs
@@ -1,4 +1,4 @@
-//! What a member tells of itself and wants done.
+//! The status of a member, and the output that its driver must carry out.
 
 use crate::{
     membership::{MemberId, Membership},
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A proposal that was not appended; it certainly will not be committed.
+/// Why a proposal was not appended. Such a proposal is never committed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ProposeError {
     /// This member does not lead.
@@ -16,77 +16,77 @@
         /// The leader, if known.
         leader: Option<MemberId>,
     },
-    /// Too many entries wait for a quorum.
+    /// Too many entries are uncommitted.
     #[error("too many entries wait for a quorum")]
     Busy,
-    /// Another membership change is under way, or the leader's term is not yet established.
+    /// Another membership change is uncommitted, or so is the leader's first entry in its term.
     #[error("another membership change is under way")]
     ChangeInProgress,
-    /// The change does not apply to the present membership.
+    /// The change does not apply to the current membership.
     #[error("the change does not apply to the present membership")]
     InvalidChange,
-    /// The learner lacks too much of the log to vote.
+    /// The learner lacks too much of the log to be promoted to voter.
     #[error("the learner has not caught up")]
     NotCaughtUp,
 }
 
-/// What a member does at present.
+/// Role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeRole {
-    /// Receives the log.
+    /// Receives the log from a leader.
     Follower,
-    /// Asks whether an election would succeed.
+    /// Requests pre-votes, to learn whether an election would succeed.
     PreCandidate,
-    /// Campaigns.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Appends entries and replicates them to the other members.
     Leader,
-    /// Was removed from the group, or never belonged to it as it is now.
+    /// Was removed from the group, or is not part of its current membership.
     Removed,
 }
 
-/// How far one peer is, as the leader sees it.
+/// Replication progress of one peer, as the leader knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
     /// The peer.
     pub id: MemberId,
     /// Last entry known to be on the peer's disk.
     pub match_index: LogIndex,
-    /// Time since the peer last answered.
+    /// Time since the peer's last reply.
     pub silent_for: Duration,
 }
 
-/// A member's view of itself, for status pages and drivers.
+/// Current state of a member, for status pages and drivers.
 #[derive(Clone, Debug)]
 pub struct NodeStatus {
     /// This member's id.
     pub id: MemberId,
-    /// Role.
+    /// This member's role.
     pub role: NodeRole,
-    /// Term.
+    /// Current term.
     pub term: Term,
-    /// Known leader.
+    /// Leader of the term, if known.
     pub leader: Option<MemberId>,
-    /// Last committed entry.
+    /// Index of the last entry known to be committed.
     pub commit_index: LogIndex,
-    /// Last entry.
+    /// Index of the last entry in the log.
     pub last_index: LogIndex,
-    /// First entry behind the snapshot.
+    /// Index of the first entry after the snapshot.
     pub first_index: LogIndex,
     /// Membership in force.
     pub membership: Membership,
-    /// Peers' progress; empty unless leading.
+    /// Progress of the peers; empty unless this member leads.
     pub progress: Vec<MemberProgress>,
 }
 
 /// What the driver must carry out after a batch of inputs.
 #[derive(Debug, Default)]
 pub struct ReplicaOutput {
-    /// Messages that may leave before the writes are synced.
+    /// Messages that may be sent before the writes are synced.
     pub send_now: Vec<Envelope>,
     /// Writes, in order; all must be synced before `record_sync` is called.
     pub writes: Vec<LogWrite>,
-    /// Messages that vouch for the writes: votes and acknowledgements.
+    /// Messages that depend on the writes (votes and acknowledgements); sent after the sync.
     pub send_after_sync: Vec<Envelope>,
     /// A snapshot to load into the state machine before applying `committed`.
     pub restore: Option<SnapshotImage>,
@@ -97,7 +97,7 @@
 }
 
 impl ReplicaOutput {
-    /// Whether there is nothing to do.
+    /// Whether the driver has nothing to do.
     pub fn is_empty(&self) -> bool {
         self.send_now.is_empty()
             && self.writes.is_empty()
