--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -1,9 +1,9 @@
-//! The pure decision core of one member.
+//! The consensus state machine of one member. It does no I/O; a driver does it.
 //!
 //! A driver repeats: feed inputs, [`ReplicaNode::take_output`], send `send_now`, write and sync
 //! `writes`, [`ReplicaNode::record_sync`], send `send_after_sync`, apply `committed`. Between
-//! `take_output` and `synced` it feeds nothing; inputs that arrive meanwhile wait and form the next
-//! batch, which is where group commit comes from.
+//! `take_output` and `record_sync` it feeds nothing: inputs that arrive meanwhile wait and form the
+//! next batch, so that one sync covers all of them (group commit).
 
 mod election;
 mod follower;
@@ -26,77 +26,78 @@
 use indexmap::IndexSet;
 use std::time::Duration;
 
-/// Most entries a leader holds uncommitted before it refuses proposals.
-const MAX_UNCOMMITTED: u64 = 16_384;
+/// Number of uncommitted entries at which a leader rejects proposals.
+const MAX_UNCOMMITTED_ENTRIES: u64 = 16_384;
 
 #[derive(Debug)]
 enum Role {
     Follower,
-    PreCandidate { grants: IndexSet<MemberId> },
-    Candidate { grants: IndexSet<MemberId> },
+    PreCandidate { votes: IndexSet<MemberId> },
+    Candidate { votes: IndexSet<MemberId> },
     Leader(LeaderState),
 }
 
-/// One member of a replicated log. See the module's text for the driver's duties.
+/// One member of a replicated log. The module documentation lists what its driver must do.
 #[derive(Debug)]
 pub struct ReplicaNode {
     id: MemberId,
     config: ReplicaConfig,
     now: Duration,
-    random: u64,
-    hard: HardState,
+    rng_state: u64,
+    hard_state: HardState,
     group: Option<GroupId>,
-    table: LogTable,
-    commit: LogIndex,
-    /// Commit index that was last noted on disk.
-    commit_noted: LogIndex,
-    /// Last entry handed to the driver for applying.
-    handed: LogIndex,
+    log: LogTable,
+    commit_index: LogIndex,
+    /// Commit index last queued for writing to disk.
+    written_commit_index: LogIndex,
+    /// Last entry delivered to the driver to apply.
+    delivered_index: LogIndex,
     /// Last entry known to be on this member's disk.
-    synced: LogIndex,
+    synced_index: LogIndex,
     role: Role,
     removed: bool,
     leader: Option<MemberId>,
-    /// When a live leader was last heard, for refusing pre-votes.
-    heard_at: Option<Duration>,
+    /// When a leader was last heard from; pre-votes are rejected while this is recent.
+    last_leader_contact: Option<Duration>,
     election_deadline: Duration,
-    incoming: Option<IncomingSnapshot>,
+    incoming_snapshot: Option<IncomingSnapshot>,
     output: ReplicaOutput,
 }
 
 impl ReplicaNode {
-    /// A member with what its disk holds. `seed` spreads election timeouts; it needs no secrecy.
+    /// Creates a member from its state on disk. `seed` randomizes election timeouts; it need not be
+    /// secret.
     pub fn new(
         identity: &MemberIdentity,
         state: RecoveredState,
         config: ReplicaConfig,
         seed: u64,
     ) -> Self {
-        let table = LogTable::new(state.snapshot, state.entries);
-        let commit = state.commit.min(table.last_index()).max(table.snapshot().index);
+        let log = LogTable::new(state.snapshot, state.entries);
+        let commit_index = state.commit.min(log.last_index()).max(log.snapshot().index);
         let mut node = Self {
             id: identity.id,
             config,
             now: Duration::ZERO,
-            random: election::spread_seed(seed, identity.id),
-            hard: state.hard,
+            rng_state: election::mix_seed(seed, identity.id),
+            hard_state: state.hard,
             group: state.hard.group.or(identity.group),
-            commit,
-            commit_noted: commit,
-            handed: table.snapshot().index,
-            synced: table.last_index(),
-            table,
+            commit_index,
+            written_commit_index: commit_index,
+            delivered_index: log.snapshot().index,
+            synced_index: log.last_index(),
+            log,
             role: Role::Follower,
             removed: false,
             leader: None,
-            heard_at: None,
+            last_leader_contact: None,
             election_deadline: Duration::ZERO,
-            incoming: None,
+            incoming_snapshot: None,
             output: ReplicaOutput::default(),
         };
         node.reset_election_deadline();
-        if node.table.membership().is_voter(node.id) && node.table.membership().quorum() == 1 {
-            // Nobody else could lead a group of one, so waiting for silence only delays it.
+        if node.log.membership().is_voter(node.id) && node.log.membership().quorum() == 1 {
+            // No other member could lead a group with one voter, so it campaigns without waiting.
             node.election_deadline = Duration::ZERO;
         }
         node
@@ -107,14 +108,14 @@
         self.id
     }
 
-    /// The group, once known.
+    /// Id of the group, once known.
     pub fn group(&self) -> Option<GroupId> {
         self.group
     }
 
-    /// The snapshot that the log starts behind.
+    /// The snapshot that precedes the first log entry.
     pub fn snapshot(&self) -> &SnapshotImage {
-        self.table.snapshot()
+        self.log.snapshot()
     }
 
     /// Whether this member leads.
@@ -129,10 +130,10 @@
 
     /// The membership in force.
     pub fn membership(&self) -> &Membership {
-        self.table.membership()
+        self.log.membership()
     }
 
-    /// Present state, for status pages.
+    /// Current state, for status pages.
     pub fn status(&self) -> NodeStatus {
         let role = match &self.role {
             _ if self.removed => NodeRole::Removed,
@@ -144,21 +145,21 @@
         NodeStatus {
             id: self.id,
             role,
-            term: self.hard.term,
+            term: self.hard_state.term,
             leader: self.leader(),
-            commit_index: self.commit,
-            last_index: self.table.last_index(),
-            first_index: self.table.first_index(),
-            membership: self.table.membership().clone(),
+            commit_index: self.commit_index,
+            last_index: self.log.last_index(),
+            first_index: self.log.first_index(),
+            membership: self.log.membership().clone(),
             progress: self.progress(),
         }
     }
 
-    /// Moves time to `now`, measured from any fixed start; earlier values are ignored, so a clock
-    /// that jumps back cannot shorten a timeout that already runs.
+    /// Advances time to `now`, measured from an arbitrary fixed origin. Earlier values are ignored,
+    /// so that a clock that jumps back cannot shorten a running timeout.
     pub fn tick(&mut self, now: Duration) {
         self.now = self.now.max(now);
-        self.note_commit();
+        self.write_commit_index();
         if self.is_leader() {
             self.tick_leader();
         } else if self.now >= self.election_deadline {
@@ -166,40 +167,43 @@
         }
     }
 
-    /// Notes on disk what is committed, at most once a tick; syncs of entries are not delayed by it.
+    /// Writes the commit index to disk if it has advanced, at most once per tick, so that
+    /// it does not delay the syncs of entries.
     ///
-    /// Failure guarded: all members restart at once. What they had applied is on their disks, but
-    /// until one of them is elected none knows that it is committed, and those who follow them are
-    /// without a configuration for the time of an election. What was noted is committed for good,
-    /// so a member may hand it out before it has heard of any leader.
-    fn note_commit(&mut self) {
-        if self.commit > self.commit_noted {
-            self.commit_noted = self.commit;
-            self.output.writes.push(LogWrite::Commit(self.commit));
+    /// Without it, after a restart of all members, the applied entries are on their disks, but no
+    /// member knows that they are committed until a leader is elected. The processes that watch the
+    /// members would have no configuration for the duration of the election. Entries up to a
+    /// written commit index stay committed, so a member may deliver them before it hears from a
+    /// leader.
+    fn write_commit_index(&mut self) {
+        if self.commit_index > self.written_commit_index {
+            self.written_commit_index = self.commit_index;
+            self.output.writes.push(LogWrite::Commit(self.commit_index));
         }
     }
 
-    /// Takes one message in.
+    /// Processes one message from another member. Messages of another group are dropped.
     pub fn receive(&mut self, envelope: Envelope) {
         if !self.accepts(&envelope) {
             return;
         }
-        if self.table.membership_at(self.commit).is_removed(envelope.from) {
-            // A replaced member that returns is told so and stops campaigning. It cannot disturb
-            // the group meanwhile: nobody counts its vote and nobody votes for it. Only an accepted
-            // removal counts. One that is merely in the log may never be accepted, and if each of
-            // two members believes the other removed, both would fall silent for good.
+        if self.log.membership_at(self.commit_index).is_removed(envelope.from) {
+            // A removed member that returns is sent `NotMember` and stops campaigning. Until then
+            // it cannot disturb the group: no member counts its vote or votes for it. Only a
+            // committed removal counts: one that is merely in the log may never be committed, and
+            // two members that each believe the other removed would both stop campaigning for good.
             self.send_now(envelope.from, Message::NotMember);
             return;
         }
         let is_pre_vote = matches!(envelope.message, Message::PreVote { .. });
-        if envelope.term > self.hard.term && !is_pre_vote {
+        if envelope.term > self.hard_state.term && !is_pre_vote {
             self.enter_term(envelope.term);
         }
         self.dispatch(envelope);
     }
 
-    /// Appends a command, if this member leads. Returns where it will stand if it is committed.
+    /// Appends a command if this member leads. Returns the term and index of the new entry; the
+    /// command is committed if an entry of that term is committed at that index.
     ///
     /// # Errors
     /// Returns an error if the command was not appended.
@@ -207,14 +211,14 @@
         if !self.is_leader() {
             return Err(ProposeError::NotLeader { leader: self.leader });
         }
-        if self.table.last_index().0 - self.commit.0 >= MAX_UNCOMMITTED {
+        if self.log.last_index().0 - self.commit_index.0 >= MAX_UNCOMMITTED_ENTRIES {
             return Err(ProposeError::Busy);
         }
-        Ok((self.hard.term, self.append_own(EntryPayload::Command(command))))
+        Ok((self.hard_state.term, self.append_as_leader(EntryPayload::Command(command))))
     }
 
-    /// Asks for a confirmed read; a [`ReadOutcome`] with `token` follows in some later output, or
-    /// nothing if a message is lost.
+    /// Starts a linearizable read. A [`ReadOutcome`] with `token` follows in a later output, or
+    /// none if a message is lost.
     pub fn read(&mut self, token: ReadToken) {
         match self.leader() {
             Some(leader) if leader == self.id => self.queue_read(self.id, token),
@@ -223,32 +227,33 @@
         }
     }
 
-    /// Replaces the log up to `index`, which must have been handed out, by `data`.
+    /// Replaces the entries up to `index` by a snapshot with content `data`. Does nothing if
+    /// `index` has not been delivered yet or the current snapshot already covers it.
     pub fn compact(&mut self, index: LogIndex, data: Vec<u8>) {
-        if index <= self.table.snapshot().index || index > self.handed {
+        if index <= self.log.snapshot().index || index > self.delivered_index {
             return;
         }
-        let Some(term) = self.table.term_at(index) else { return };
-        let membership = self.table.membership_at(index).clone();
+        let Some(term) = self.log.term_at(index) else { return };
+        let membership = self.log.membership_at(index).clone();
         let image = SnapshotImage { index, term, membership, data };
-        self.table.install(image.clone());
+        self.log.install(image.clone());
         self.output.writes.push(LogWrite::Snapshot { image, keep_tail: true });
     }
 
-    /// Takes what the driver must do now.
+    /// Returns what the driver must do now, and leaves an empty output behind.
     pub fn take_output(&mut self) -> ReplicaOutput {
         self.replicate();
-        self.hand_out_committed();
+        self.deliver_committed();
         std::mem::take(&mut self.output)
     }
 
-    /// Tells the node that every write of the last output is on disk.
+    /// Records that every write of the last output is on disk.
     pub fn record_sync(&mut self) {
-        self.synced = self.table.last_index();
-        if let Role::Candidate { grants } = &mut self.role {
-            // The own vote counts only now: counted earlier, a crash could forget it and the
-            // member could vote twice in one term.
-            grants.insert(self.id);
+        self.synced_index = self.log.last_index();
+        if let Role::Candidate { votes } = &mut self.role {
+            // This member's own vote counts only once it is synced: a crash before the sync would
+            // lose it, and the member could vote twice in one term.
+            votes.insert(self.id);
             self.count_votes();
         }
         if self.is_leader() {
@@ -266,50 +271,53 @@
         }
     }
 
-    /// A joining member learns its group from the first leader that writes to its random id.
+    /// A joining member adopts the group of the first leader that sends an append or a snapshot
+    /// piece to its random id.
     fn adopt_group(&mut self, envelope: &Envelope) -> bool {
         let from_leader =
             matches!(envelope.message, Message::Append { .. } | Message::SnapshotPiece { .. });
         if from_leader {
             self.group = Some(envelope.group);
-            self.hard.group = Some(envelope.group);
-            self.write_hard();
+            self.hard_state.group = Some(envelope.group);
+            self.write_hard_state();
         }
         from_leader
     }
 
     fn dispatch(&mut self, envelope: Envelope) {
         let from = envelope.from;
-        let current = envelope.term == self.hard.term;
+        let is_current_term = envelope.term == self.hard_state.term;
         match envelope.message {
             Message::PreVote { campaign, last_index, last_term } => {
-                self.answer_pre_vote(from, campaign, last_index, last_term);
+                self.handle_pre_vote(from, campaign, last_index, last_term);
             }
             Message::PreVoteReply { campaign, granted } => {
-                self.count_pre_vote(from, campaign, granted);
+                self.handle_pre_vote_reply(from, campaign, granted);
             }
             Message::Vote { last_index, last_term } => {
-                self.answer_vote(from, current, last_index, last_term);
+                self.handle_vote(from, is_current_term, last_index, last_term);
+            }
+            Message::VoteReply { granted } if is_current_term => {
+                self.handle_vote_reply(from, granted)
             }
-            Message::VoteReply { granted } if current => self.count_vote(from, granted),
             Message::Append { previous_index, previous_term, entries, commit, round } => {
-                if current {
-                    self.follow(from);
-                    self.take_append(from, previous_index, previous_term, entries, commit, round);
+                if is_current_term {
+                    self.follow_leader(from);
+                    self.handle_append(from, previous_index, previous_term, entries, commit, round);
                 } else {
-                    self.refuse_append(from, round);
+                    self.reject_append(from, round);
                 }
             }
-            Message::AppendReply { index, matched, round } if current => {
-                self.take_append_reply(from, index, matched, round);
+            Message::AppendReply { index, matched, round } if is_current_term => {
+                self.handle_append_reply(from, index, matched, round);
             }
-            Message::SnapshotPiece { .. } if current => {
-                self.follow(from);
-                self.take_snapshot_piece(from, envelope.message);
+            Message::SnapshotPiece { .. } if is_current_term => {
+                self.follow_leader(from);
+                self.handle_snapshot_piece(from, envelope.message);
             }
-            Message::SnapshotPiece { round, .. } => self.refuse_append(from, round),
-            Message::SnapshotReply { index, received, round } if current => {
-                self.take_snapshot_reply(from, index, received, round);
+            Message::SnapshotPiece { round, .. } => self.reject_append(from, round),
+            Message::SnapshotReply { index, received, round } if is_current_term => {
+                self.handle_snapshot_reply(from, index, received, round);
             }
             Message::Read { token } if self.is_leader() => self.queue_read(from, token),
             Message::Read { token } => {
@@ -318,33 +326,34 @@
             Message::ReadReply { token, index } => {
                 self.output.reads.push(ReadOutcome { token, index });
             }
-            Message::TimeoutNow if current => self.campaign(),
-            Message::NotMember => self.note_removed(),
-            // Replies of an earlier term: whatever they vouched for was about another leadership.
+            Message::TimeoutNow if is_current_term => self.campaign(),
+            Message::NotMember => self.apply_not_member(),
+            // Messages of an earlier term: what they confirm or request concerns a past leadership.
             _ => {}
         }
     }
 
-    fn note_removed(&mut self) {
-        let waits_for_leader = !self.is_leader() && self.leader.is_none();
-        if waits_for_leader {
+    /// Stops campaigning until a leader makes contact, unless this member leads or knows a leader.
+    fn apply_not_member(&mut self) {
+        let knows_no_leader = !self.is_leader() && self.leader.is_none();
+        if knows_no_leader {
             self.removed = true;
             self.role = Role::Follower;
         }
     }
 
-    fn hand_out_committed(&mut self) {
-        while self.handed < self.commit {
-            let next = self.handed.next();
-            let Some(entry) = self.table.get(next) else { break };
+    fn deliver_committed(&mut self) {
+        while self.delivered_index < self.commit_index {
+            let next = self.delivered_index.next();
+            let Some(entry) = self.log.get(next) else { break };
             self.output.committed.push(entry.clone());
-            self.handed = next;
+            self.delivered_index = next;
         }
     }
 
-    fn append_own(&mut self, payload: EntryPayload) -> LogIndex {
-        let index = self.table.last_index().next();
-        let entry = LogEntry { index, term: self.hard.term, payload };
+    fn append_as_leader(&mut self, payload: EntryPayload) -> LogIndex {
+        let index = self.log.last_index().next();
+        let entry = LogEntry { index, term: self.hard_state.term, payload };
         self.write_entry(entry);
         index
     }
@@ -354,23 +363,23 @@
             Some(LogWrite::Append(entries)) => entries.push(entry.clone()),
             _ => self.output.writes.push(LogWrite::Append(vec![entry.clone()])),
         }
-        self.table.append(entry);
+        self.log.append(entry);
     }
 
-    fn write_hard(&mut self) {
-        self.output.writes.push(LogWrite::HardState(self.hard));
+    fn write_hard_state(&mut self) {
+        self.output.writes.push(LogWrite::HardState(self.hard_state));
     }
 
     fn enter_term(&mut self, term: Term) {
-        self.hard.term = term;
-        self.hard.voted_for = None;
-        self.write_hard();
+        self.hard_state.term = term;
+        self.hard_state.voted_for = None;
+        self.write_hard_state();
         self.become_follower(None);
     }
 
     fn become_follower(&mut self, leader: Option<MemberId>) {
         if let Role::Leader(state) = &mut self.role {
-            let dropped = state.take_reads();
+            let dropped = state.take_pending_reads();
             for read in dropped {
                 self.answer_read(read.from, read.token, None);
             }
@@ -390,7 +399,7 @@
 
     fn envelope(&self, to: MemberId, message: Message) -> Option<Envelope> {
         let group = self.group?;
-        Some(Envelope { group, from: self.id, to, term: self.hard.term, message })
+        Some(Envelope { group, from: self.id, to, term: self.hard_state.term, message })
     }
 
     fn send_now(&mut self, to: MemberId, message: Message) {
--- a/crates/replica/src/node/follower.rs
+++ b/crates/replica/src/node/follower.rs
@@ -1,4 +1,4 @@
-//! Receiving the log: appends, and snapshots in bounded pieces.
+//! Receives the log from the leader: appended entries, and snapshots in pieces of bounded size.
 
 use super::{ReplicaNode, Role};
 use crate::{
@@ -6,7 +6,7 @@
     message::{LogEntry, LogIndex, LogWrite, Message, SnapshotImage, Term},
 };
 
-/// A snapshot of which some pieces have arrived.
+/// A partially received snapshot.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
     index: LogIndex,
@@ -16,9 +16,9 @@
 }
 
 impl ReplicaNode {
-    pub(super) fn follow(&mut self, leader: MemberId) {
+    pub(super) fn follow_leader(&mut self, leader: MemberId) {
         self.removed = false;
-        self.heard_at = Some(self.now);
+        self.last_leader_contact = Some(self.now);
         if self.leader == Some(leader) && matches!(self.role, Role::Follower) {
             self.reset_election_deadline();
         } else {
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Answers a leader of an earlier term. The reply's envelope carries the present term, which
-    /// makes the old leader step down.
-    pub(super) fn refuse_append(&mut self, from: MemberId, round: u64) {
-        let index = self.table.last_index().next();
+    /// Rejects an append or a snapshot piece of a leader of an earlier term. The reply's envelope
+    /// carries the current term, which makes that leader step down.
+    pub(super) fn reject_append(&mut self, from: MemberId, round: u64) {
+        let index = self.log.last_index().next();
         self.send_now(from, Message::AppendReply { index, matched: false, round });
     }
 
-    pub(super) fn take_append(
+    pub(super) fn handle_append(
         &mut self,
         from: MemberId,
         previous_index: LogIndex,
@@ -43,11 +43,11 @@
         round: u64,
     ) {
         let matched = LogIndex(previous_index.0 + entries.len() as u64);
-        let snapshot_index = self.table.snapshot().index;
+        let snapshot_index = self.log.snapshot().index;
         if previous_index < snapshot_index {
             // Entries that the snapshot covers are committed and need no comparison.
             entries.retain(|entry| entry.index > snapshot_index);
-        } else if self.table.term_at(previous_index) != Some(previous_term) {
+        } else if self.log.term_at(previous_index) != Some(previous_term) {
             let index = self.retry_index(previous_index);
             self.send_now(from, Message::AppendReply { index, matched: false, round });
             return;
@@ -57,20 +57,21 @@
                 return;
             }
         }
-        self.commit = self.commit.max(commit.min(matched).min(self.table.last_index()));
-        let index = matched.min(self.table.last_index());
+        self.commit_index = self.commit_index.max(commit.min(matched).min(self.log.last_index()));
+        let index = matched.min(self.log.last_index());
         self.send_after_sync(from, Message::AppendReply { index, matched: true, round });
     }
 
-    /// Stores one entry unless it is there; returns whether the leader may be believed further.
+    /// Stores one entry unless the log has it. Returns false if it contradicts a committed entry;
+    /// the rest of the append must then be ignored.
     fn merge_entry(&mut self, entry: LogEntry) -> bool {
-        match self.table.term_at(entry.index) {
+        match self.log.term_at(entry.index) {
             Some(term) if term == entry.term => true,
-            // A committed entry never changes. A leader that asks for it breaks the protocol, and
-            // ignoring it keeps what was accepted.
-            Some(_) if entry.index <= self.commit => false,
+            // A committed entry never changes. A leader that sends another one violates the
+            // protocol; ignoring it preserves the committed entries.
+            Some(_) if entry.index <= self.commit_index => false,
             Some(_) => {
-                self.table.truncate(entry.index);
+                self.log.truncate(entry.index);
                 self.output.writes.push(LogWrite::Truncate(entry.index));
                 self.write_entry(entry);
                 true
@@ -82,21 +83,22 @@
         }
     }
 
-    /// Where the leader should try next: the start of the term that conflicts, or the log's end.
+    /// Index from which the leader should retry: the first entry of the conflicting term, or the
+    /// index after this member's last entry.
     fn retry_index(&self, previous_index: LogIndex) -> LogIndex {
-        let Some(conflict) = self.table.term_at(previous_index) else {
-            return self.table.last_index().next();
+        let Some(conflicting_term) = self.log.term_at(previous_index) else {
+            return self.log.last_index().next();
         };
         let mut index = previous_index;
-        while index > self.table.first_index()
-            && self.table.term_at(index.previous()) == Some(conflict)
+        while index > self.log.first_index()
+            && self.log.term_at(index.previous()) == Some(conflicting_term)
         {
             index = index.previous();
         }
         index
     }
 
-    pub(super) fn take_snapshot_piece(&mut self, from: MemberId, message: Message) {
+    pub(super) fn handle_snapshot_piece(&mut self, from: MemberId, message: Message) {
         let Message::SnapshotPiece {
             index,
             last_term,
@@ -110,21 +112,22 @@
         else {
             return;
         };
-        if index <= self.commit {
-            // Already here; the reply moves the leader on to entries.
+        if index <= self.commit_index {
+            // All of it is committed here; this reply makes the leader continue with entries.
             self.send_after_sync(from, Message::SnapshotReply { index, received: total, round });
             return;
         }
-        let received = self.collect_piece(index, last_term, checksum, offset, &piece);
+        let received = self.append_snapshot_piece(index, last_term, checksum, offset, &piece);
         if received == total {
-            self.finish_snapshot(from, membership, total, round);
+            self.install_snapshot(from, membership, total, round);
         } else {
             self.send_now(from, Message::SnapshotReply { index, received, round });
         }
     }
 
-    /// Adds a piece if it continues what is there; returns how many bytes are there.
-    fn collect_piece(
+    /// Appends a piece if it follows the bytes received so far, after discarding those of another
+    /// snapshot. Returns how many bytes of this snapshot have been received.
+    fn append_snapshot_piece(
         &mut self,
         index: LogIndex,
         last_term: Term,
@@ -132,33 +135,34 @@
         offset: u64,
         piece: &[u8],
     ) -> u64 {
-        let same = self.incoming.as_ref().is_some_and(|incoming| {
+        let is_same_snapshot = self.incoming_snapshot.as_ref().is_some_and(|incoming| {
             (incoming.index, incoming.last_term, incoming.checksum) == (index, last_term, checksum)
         });
-        if !same {
-            self.incoming = Some(IncomingSnapshot { index, last_term, checksum, data: Vec::new() });
+        if !is_same_snapshot {
+            self.incoming_snapshot =
+                Some(IncomingSnapshot { index, last_term, checksum, data: Vec::new() });
         }
-        let Some(incoming) = &mut self.incoming else { return 0 };
+        let Some(incoming) = &mut self.incoming_snapshot else { return 0 };
         if incoming.data.len() as u64 == offset {
             incoming.data.extend_from_slice(piece);
         }
         incoming.data.len() as u64
     }
 
-    fn finish_snapshot(&mut self, from: MemberId, membership: Membership, total: u64, round: u64) {
-        let Some(incoming) = self.incoming.take() else { return };
+    fn install_snapshot(&mut self, from: MemberId, membership: Membership, total: u64, round: u64) {
+        let Some(incoming) = self.incoming_snapshot.take() else { return };
         let index = incoming.index;
         if crc32fast::hash(&incoming.data) != incoming.checksum {
-            // Damaged on the way: report nothing received, so that the leader starts over.
+            // Corrupted in transit: report 0 bytes received so that the leader sends it again.
             self.send_now(from, Message::SnapshotReply { index, received: 0, round });
             return;
         }
         let image =
             SnapshotImage { index, term: incoming.last_term, membership, data: incoming.data };
-        let keep_tail = self.table.install(image.clone());
-        self.commit = index;
-        self.handed = index;
-        // Entries handed out but not yet taken are covered by the snapshot.
+        let keep_tail = self.log.install(image.clone());
+        self.commit_index = index;
+        self.delivered_index = index;
+        // Entries delivered but not yet taken by the driver are covered by the snapshot.
         self.output.committed.clear();
         self.output.writes.push(LogWrite::Snapshot { image: image.clone(), keep_tail });
         self.output.restore = Some(image);
--- a/crates/replica/src/node/leader.rs
+++ b/crates/replica/src/node/leader.rs
@@ -1,6 +1,6 @@
-//! Leading: replication, commitment, confirmed reads and membership changes.
+//! Work of a leader: replication, commitment, linearizable reads and membership changes.
 
-use super::{MAX_UNCOMMITTED, MemberProgress, ProposeError, ReplicaNode, Role};
+use super::{MAX_UNCOMMITTED_ENTRIES, MemberProgress, ProposeError, ReplicaNode, Role};
 use crate::{
     membership::{MemberId, MembershipChange},
     message::{EntryPayload, LogIndex, Message, ReadToken, Term},
@@ -8,27 +8,27 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Most entries sent to a peer beyond what it acknowledged.
-const MAX_IN_FLIGHT: u64 = 4_096;
+/// Number of unacknowledged entries at which the leader sends a peer no further ones.
+const MAX_IN_FLIGHT_ENTRIES: u64 = 4_096;
 
-/// What the leader knows of one peer.
+/// Replication state of one peer, as the leader knows it.
 #[derive(Debug)]
 struct PeerProgress {
-    matched: LogIndex,
-    next: LogIndex,
-    /// Whether `next` is a guess; then one message at a time is sent.
+    match_index: LogIndex,
+    next_index: LogIndex,
+    /// Whether `next_index` is a guess; entries are then sent in one append at a time.
     probing: bool,
-    probe_sent: bool,
+    probe_in_flight: bool,
     acked_round: u64,
-    acked_at: Duration,
-    /// Commit index that the last message to it carried.
-    told_commit: LogIndex,
-    /// Bytes of the snapshot that the peer has, while it needs one.
-    snapshot_received: Option<u64>,
-    piece_sent: bool,
+    last_reply_at: Duration,
+    /// Commit index in the last append sent to the peer.
+    sent_commit_index: LogIndex,
+    /// Bytes of the snapshot that the peer has received, while it needs one.
+    snapshot_bytes_received: Option<u64>,
+    piece_in_flight: bool,
 }
 
-/// A read that waits for a round of heartbeats.
+/// A read that waits until a quorum has acknowledged heartbeat round `round`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRead {
     pub(super) from: MemberId,
@@ -41,17 +41,17 @@
 #[derive(Debug)]
 pub(super) struct LeaderState {
     peers: IndexMap<MemberId, PeerProgress>,
-    reads: Vec<PendingRead>,
-    /// The leader's first entry; until it is committed, reads wait for it.
-    term_start: LogIndex,
+    pending_reads: Vec<PendingRead>,
+    /// The leader's first entry in its term; reads wait until it is committed.
+    term_start_index: LogIndex,
     round: u64,
-    round_wanted: bool,
-    heartbeat_due: Duration,
+    heartbeat_requested: bool,
+    next_heartbeat_at: Duration,
 }
 
 impl LeaderState {
-    pub(super) fn take_reads(&mut self) -> Vec<PendingRead> {
-        std::mem::take(&mut self.reads)
+    pub(super) fn take_pending_reads(&mut self) -> Vec<PendingRead> {
+        std::mem::take(&mut self.pending_reads)
     }
 }
 
@@ -60,39 +60,41 @@
         self.leader = Some(self.id);
         let state = LeaderState {
             peers: IndexMap::new(),
-            reads: Vec::new(),
-            term_start: self.table.last_index().next(),
+            pending_reads: Vec::new(),
+            term_start_index: self.log.last_index().next(),
             round: 0,
-            round_wanted: true,
-            heartbeat_due: self.now,
+            heartbeat_requested: true,
+            next_heartbeat_at: self.now,
         };
         self.role = Role::Leader(state);
-        self.append_own(EntryPayload::Noop);
+        self.append_as_leader(EntryPayload::Noop);
         self.refresh_peers();
     }
 
-    /// Gives up leadership to the most complete voter, for a planned stop.
+    /// Asks the peer with the highest match index among the voters to campaign, for a planned stop
+    /// of this leader.
     pub fn transfer_leadership(&mut self) {
         let Role::Leader(state) = &self.role else { return };
-        let membership = self.table.membership();
-        let heir = state
+        let membership = self.log.membership();
+        let successor = state
             .peers
             .iter()
             .filter(|(id, _)| membership.is_voter(**id))
-            .max_by_key(|(_, peer)| peer.matched)
+            .max_by_key(|(_, peer)| peer.match_index)
             .map(|(id, _)| *id);
-        if let Some(heir) = heir {
-            self.send_now(heir, Message::TimeoutNow);
+        if let Some(successor) = successor {
+            self.send_now(successor, Message::TimeoutNow);
         }
     }
 
     /// Appends a membership change.
     ///
     /// # Errors
-    /// Refuses while another change is uncommitted, before the leader's first entry is committed,
-    /// and for a learner that lacks too much of the log. The first two keep at most one voter of
-    /// difference between any two memberships that could both be in force; the third keeps a
-    /// group available: a voter without the log counts for the quorum's size but cannot help it.
+    /// Returns an error while another change is uncommitted, before the leader's first entry is
+    /// committed, and for the promotion of a learner that lacks too much of the log. The first two
+    /// ensure that any two memberships that could both be in force differ by at most one voter. The
+    /// third keeps the group available: a voter without the log raises the quorum's size but cannot
+    /// contribute to it.
     pub fn change_membership(
         &mut self,
         change: &MembershipChange,
@@ -100,103 +102,104 @@
         let Role::Leader(state) = &self.role else {
             return Err(ProposeError::NotLeader { leader: self.leader });
         };
-        let unsettled = self.commit < state.term_start;
-        if unsettled || self.table.membership_index() > self.commit {
+        let term_uncommitted = self.commit_index < state.term_start_index;
+        if term_uncommitted || self.log.membership_index() > self.commit_index {
             return Err(ProposeError::ChangeInProgress);
         }
         if let MembershipChange::Promote(id) = change {
-            let matched = state.peers.get(id).map_or(LogIndex(0), |peer| peer.matched);
-            let lag = self.table.last_index().0 - matched.0;
+            let matched = state.peers.get(id).map_or(LogIndex(0), |peer| peer.match_index);
+            let lag = self.log.last_index().0 - matched.0;
             if matched == LogIndex(0) || lag > self.config.promote_max_lag {
                 return Err(ProposeError::NotCaughtUp);
             }
         }
-        let next = self.table.membership().changed(change).ok_or(ProposeError::InvalidChange)?;
-        if self.table.last_index().0 - self.commit.0 >= MAX_UNCOMMITTED {
+        let next = self.log.membership().changed(change).ok_or(ProposeError::InvalidChange)?;
+        if self.log.last_index().0 - self.commit_index.0 >= MAX_UNCOMMITTED_ENTRIES {
             return Err(ProposeError::Busy);
         }
-        let index = self.append_own(EntryPayload::Membership(next));
+        let index = self.append_as_leader(EntryPayload::Membership(next));
         self.refresh_peers();
-        Ok((self.hard.term, index))
+        Ok((self.hard_state.term, index))
     }
 
     pub(super) fn progress(&self) -> Vec<MemberProgress> {
         let Role::Leader(state) = &self.role else { return Vec::new() };
-        let view = |(id, peer): (&MemberId, &PeerProgress)| MemberProgress {
+        let to_progress = |(id, peer): (&MemberId, &PeerProgress)| MemberProgress {
             id: *id,
-            match_index: peer.matched,
-            silent_for: self.now.saturating_sub(peer.acked_at),
+            match_index: peer.match_index,
+            silent_for: self.now.saturating_sub(peer.last_reply_at),
         };
-        state.peers.iter().map(view).collect()
+        state.peers.iter().map(to_progress).collect()
     }
 
-    /// Matches the peers' table to the membership in force.
+    /// Adds and removes peers so that they match the membership in force.
     fn refresh_peers(&mut self) {
-        let own = self.id;
+        let own_id = self.id;
         let ids: Vec<MemberId> =
-            self.table.membership().members().map(|m| m.id).filter(|id| *id != own).collect();
-        let next = self.table.last_index();
+            self.log.membership().members().map(|m| m.id).filter(|id| *id != own_id).collect();
+        let next_index = self.log.last_index();
         let now = self.now;
         let Role::Leader(state) = &mut self.role else { return };
         state.peers.retain(|id, _| ids.contains(id));
         for id in ids {
             state.peers.entry(id).or_insert(PeerProgress {
-                matched: LogIndex(0),
-                next,
+                match_index: LogIndex(0),
+                next_index,
                 probing: true,
-                probe_sent: false,
+                probe_in_flight: false,
                 acked_round: 0,
-                acked_at: now,
-                told_commit: LogIndex(0),
-                snapshot_received: None,
-                piece_sent: false,
+                last_reply_at: now,
+                sent_commit_index: LogIndex(0),
+                snapshot_bytes_received: None,
+                piece_in_flight: false,
             });
         }
     }
 
-    /// Failure guarded: a leader cut off silently keeps believing that it leads, and operators
-    /// keep sending it changes. It shows as calls that hang. A leader that a quorum has not
-    /// answered for two election timeouts steps down and says so at once.
+    /// Requests a heartbeat round when one is due, and steps down if a quorum has not replied for
+    /// two election timeouts. Without stepping down, a leader whose messages are silently lost
+    /// would continue to lead, and operators' changes sent to it would hang; a member that has
+    /// stepped down rejects them at once.
     pub(super) fn tick_leader(&mut self) {
-        let patience = self.config.election_timeout * 2;
+        let quorum_timeout = self.config.election_timeout * 2;
         let now = self.now;
-        let own = self.id;
-        let membership = self.table.membership().clone();
+        let own_id = self.id;
+        let membership = self.log.membership().clone();
         let Role::Leader(state) = &mut self.role else { return };
-        let live = |id: &MemberId| {
-            *id == own
+        let is_live = |id: &MemberId| {
+            *id == own_id
                 || state
                     .peers
                     .get(id)
-                    .is_some_and(|peer| now.saturating_sub(peer.acked_at) < patience)
+                    .is_some_and(|peer| now.saturating_sub(peer.last_reply_at) < quorum_timeout)
         };
-        let count = membership.voters().filter(live).count();
-        if now >= state.heartbeat_due {
-            state.round_wanted = true;
+        let live_voters = membership.voters().filter(is_live).count();
+        if now >= state.next_heartbeat_at {
+            state.heartbeat_requested = true;
         }
-        if count < membership.quorum() {
+        if live_voters < membership.quorum() {
             self.become_follower(None);
         }
     }
 
     pub(super) fn queue_read(&mut self, from: MemberId, token: ReadToken) {
-        let commit = self.commit;
+        let commit = self.commit_index;
         let Role::Leader(state) = &mut self.role else { return };
-        let index = commit.max(state.term_start);
-        // Only a round that starts after the read can show that no other leader had taken over
-        // before the read began.
+        let index = commit.max(state.term_start_index);
+        // Only a heartbeat round that starts after the read can show that no other leader had been
+        // elected before the read began.
         let round = state.round + 1;
-        state.reads.push(PendingRead { from, token, index, round });
-        state.round_wanted = true;
+        state.pending_reads.push(PendingRead { from, token, index, round });
+        state.heartbeat_requested = true;
     }
 
     fn confirm_reads(&mut self) {
-        let quorum = self.table.membership().quorum();
-        let voters: Vec<MemberId> = self.table.membership().voters().collect();
-        let own = self.id;
+        let quorum = self.log.membership().quorum();
+        let voters: Vec<MemberId> = self.log.membership().voters().collect();
+        let own_id = self.id;
         let Role::Leader(state) = &mut self.role else { return };
         let round_of = |id: &MemberId| {
-            if *id == own {
+            if *id == own_id {
                 state.round
             } else {
                 state.peers.get(id).map_or(0, |peer| peer.acked_round)
@@ -205,9 +208,9 @@
         let mut rounds: Vec<u64> = voters.iter().map(round_of).collect();
         rounds.sort_unstable_by(|a, b| b.cmp(a));
         let Some(confirmed) = rounds.get(quorum - 1).copied() else { return };
-        let reads = state.take_reads();
+        let reads = state.take_pending_reads();
         let (ready, waiting) = reads.into_iter().partition(|read| read.round <= confirmed);
-        state.reads = waiting;
+        state.pending_reads = waiting;
         let ready: Vec<PendingRead> = ready;
         for read in ready {
             self.answer_read(read.from, read.token, Some(read.index));
@@ -215,37 +218,39 @@
     }
 
     pub(super) fn advance_commit(&mut self) {
-        let quorum = self.table.membership().quorum();
+        let quorum = self.log.membership().quorum();
         let Role::Leader(state) = &self.role else { return };
-        let matched_of = |id: MemberId| {
+        let match_index_of = |id: MemberId| {
             if id == self.id {
-                self.synced
+                self.synced_index
             } else {
-                state.peers.get(&id).map_or(LogIndex(0), |peer| peer.matched)
+                state.peers.get(&id).map_or(LogIndex(0), |peer| peer.match_index)
             }
         };
-        let mut matched: Vec<LogIndex> = self.table.membership().voters().map(matched_of).collect();
-        matched.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(candidate) = matched.get(quorum - 1).copied() else { return };
-        // Only an entry of the own term may be counted: an older one on a majority can still be
-        // replaced by a leader elected without it. Committing one of ours commits those before it.
-        let own_term = self.table.term_at(candidate) == Some(self.hard.term);
-        if candidate > self.commit && own_term {
-            self.commit = candidate;
+        let mut match_indexes: Vec<LogIndex> =
+            self.log.membership().voters().map(match_index_of).collect();
+        match_indexes.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(quorum_index) = match_indexes.get(quorum - 1).copied() else { return };
+        // Only an entry of the leader's own term is committed by counting replicas: an older one on
+        // a majority can still be replaced by a leader that lacks it. Committing an entry of this
+        // term also commits those before it.
+        let is_own_term = self.log.term_at(quorum_index) == Some(self.hard_state.term);
+        if quorum_index > self.commit_index && is_own_term {
+            self.commit_index = quorum_index;
             self.step_down_if_removed();
         }
     }
 
     fn step_down_if_removed(&mut self) {
-        let settled = self.table.membership_index() <= self.commit;
-        if settled && !self.table.membership().is_voter(self.id) {
-            self.hand_out_committed();
+        let change_committed = self.log.membership_index() <= self.commit_index;
+        if change_committed && !self.log.membership().is_voter(self.id) {
+            self.deliver_committed();
             self.become_follower(None);
             self.removed = true;
         }
     }
 
-    pub(super) fn take_append_reply(
+    pub(super) fn handle_append_reply(
         &mut self,
         from: MemberId,
         index: LogIndex,
@@ -253,26 +258,26 @@
         round: u64,
     ) {
         let now = self.now;
-        let last = self.table.last_index();
+        let last = self.log.last_index();
         let Role::Leader(state) = &mut self.role else { return };
         let Some(peer) = state.peers.get_mut(&from) else { return };
-        peer.acked_at = now;
+        peer.last_reply_at = now;
         peer.acked_round = peer.acked_round.max(round);
-        peer.probe_sent = false;
+        peer.probe_in_flight = false;
         if matched {
-            peer.matched = peer.matched.max(index.min(last));
-            peer.next = peer.next.max(peer.matched.next());
+            peer.match_index = peer.match_index.max(index.min(last));
+            peer.next_index = peer.next_index.max(peer.match_index.next());
             peer.probing = false;
-            peer.snapshot_received = None;
+            peer.snapshot_bytes_received = None;
         } else {
-            peer.next = index.min(peer.next.previous()).max(peer.matched.next());
+            peer.next_index = index.min(peer.next_index.previous()).max(peer.match_index.next());
             peer.probing = true;
         }
         self.advance_commit();
         self.confirm_reads();
     }
 
-    pub(super) fn take_snapshot_reply(
+    pub(super) fn handle_snapshot_reply(
         &mut self,
         from: MemberId,
         index: LogIndex,
@@ -280,25 +285,25 @@
         round: u64,
     ) {
         let now = self.now;
-        let snapshot_index = self.table.snapshot().index;
-        let total = self.table.snapshot().data.len() as u64;
+        let snapshot_index = self.log.snapshot().index;
+        let total = self.log.snapshot().data.len() as u64;
         let Role::Leader(state) = &mut self.role else { return };
         let Some(peer) = state.peers.get_mut(&from) else { return };
-        peer.acked_at = now;
+        peer.last_reply_at = now;
         peer.acked_round = peer.acked_round.max(round);
-        peer.piece_sent = false;
+        peer.piece_in_flight = false;
         if index == snapshot_index {
-            peer.snapshot_received = Some(received.min(total));
+            peer.snapshot_bytes_received = Some(received.min(total));
             if received >= total {
-                peer.matched = peer.matched.max(index);
-                peer.next = peer.matched.next();
-                peer.snapshot_received = None;
+                peer.match_index = peer.match_index.max(index);
+                peer.next_index = peer.match_index.next();
+                peer.snapshot_bytes_received = None;
                 peer.probing = true;
-                peer.probe_sent = false;
+                peer.probe_in_flight = false;
             }
-        } else if peer.snapshot_received.is_some() {
-            // An answer about an older snapshot: the present one starts from its beginning.
-            peer.snapshot_received = Some(0);
+        } else if peer.snapshot_bytes_received.is_some() {
+            // A reply about an older snapshot: the current one is sent from its start.
+            peer.snapshot_bytes_received = Some(0);
         }
         self.advance_commit();
         self.confirm_reads();
@@ -309,11 +314,11 @@
         let interval = self.config.heartbeat_interval;
         let now = self.now;
         let Role::Leader(state) = &mut self.role else { return };
-        let heartbeat = state.round_wanted;
+        let heartbeat = state.heartbeat_requested;
         if heartbeat {
             state.round += 1;
-            state.round_wanted = false;
-            state.heartbeat_due = now + interval;
+            state.heartbeat_requested = false;
+            state.next_heartbeat_at = now + interval;
         }
         let ids: Vec<MemberId> = state.peers.keys().copied().collect();
         for id in ids {
@@ -328,55 +333,57 @@
         let Role::Leader(state) = &mut self.role else { return };
         let round = state.round;
         let Some(peer) = state.peers.get_mut(&id) else { return };
-        let previous = peer.next.previous();
-        let Some(previous_term) = self.table.term_at(previous) else {
-            self.send_piece(id, heartbeat);
+        let previous = peer.next_index.previous();
+        let Some(previous_term) = self.log.term_at(previous) else {
+            self.send_snapshot_piece(id, heartbeat);
             return;
         };
-        let last = self.table.last_index();
-        let blocked = (peer.probing && peer.probe_sent)
-            || peer.next.0 > peer.matched.0.saturating_add(MAX_IN_FLIGHT);
+        let last = self.log.last_index();
+        let blocked = (peer.probing && peer.probe_in_flight)
+            || peer.next_index.0 > peer.match_index.0.saturating_add(MAX_IN_FLIGHT_ENTRIES);
         let entries = if blocked {
             Vec::new()
         } else {
-            self.table.slice(peer.next, self.config.max_append_bytes)
+            self.log.slice(peer.next_index, self.config.max_append_bytes)
         };
-        // A peer that has everything is told of a commitment at once: its followers wait for that word
-        // to apply a change. Told by the next heartbeat only, those who follow such a member had a
-        // change 190 ms later than those who follow the leader (three members, heartbeats 200 ms
-        // apart).
-        let commit = self.commit;
-        let news = !peer.probing && commit > peer.told_commit && peer.matched >= commit;
-        if entries.is_empty() && !heartbeat && !news {
+        // A peer that has every committed entry is sent a new commit index at once: it applies a
+        // change, and passes it on to its watchers, only when it knows that it is committed. With
+        // the commit index sent only in the next heartbeat, watchers of such a peer received a
+        // change 190 ms later than watchers of the leader (three members, heartbeats every
+        // 200 ms).
+        let commit = self.commit_index;
+        let commit_unsent =
+            !peer.probing && commit > peer.sent_commit_index && peer.match_index >= commit;
+        if entries.is_empty() && !heartbeat && !commit_unsent {
             return;
         }
-        peer.told_commit = commit;
+        peer.sent_commit_index = commit;
         if peer.probing {
-            peer.probe_sent = true;
+            peer.probe_in_flight = true;
         } else {
-            peer.next = LogIndex(peer.next.0 + entries.len() as u64);
+            peer.next_index = LogIndex(peer.next_index.0 + entries.len() as u64);
         }
-        let more = !peer.probing && peer.next <= last && !blocked;
+        let has_more = !peer.probing && peer.next_index <= last && !blocked;
         let previous_index = previous;
         self.send_now(
             id,
             Message::Append { previous_index, previous_term, entries, commit, round },
         );
-        if more {
+        if has_more {
             self.replicate_to(id, false);
         }
     }
 
-    fn send_piece(&mut self, id: MemberId, heartbeat: bool) {
-        let snapshot = self.table.snapshot();
+    fn send_snapshot_piece(&mut self, id: MemberId, heartbeat: bool) {
+        let snapshot = self.log.snapshot();
         let Role::Leader(state) = &mut self.role else { return };
         let round = state.round;
         let Some(peer) = state.peers.get_mut(&id) else { return };
-        if peer.piece_sent && !heartbeat {
+        if peer.piece_in_flight && !heartbeat {
             return;
         }
-        peer.piece_sent = true;
-        let offset = *peer.snapshot_received.get_or_insert(0);
+        peer.piece_in_flight = true;
+        let offset = *peer.snapshot_bytes_received.get_or_insert(0);
         let start = (offset as usize).min(snapshot.data.len());
         let end = (start + self.config.snapshot_piece_bytes).min(snapshot.data.len());
         let message = Message::SnapshotPiece {
