--- a/tests/all/group_faults.rs
+++ b/tests/all/group_faults.rs
@@ -1,4 +1,4 @@
-//! Interleavings of elections that random events seldom meet, written out step by step.
+//! Faults of a control group in an order that random events seldom produce, step by step.
 
 use crate::support::organisation_edit;
 use egretseam_proto::OrganisationName;
@@ -22,11 +22,11 @@
     matches!(message, Message::AppendReply { .. })
 }
 
-/// A member grants its vote, answers, and dies before the vote is on disk. Restarted, it is asked
-/// by another candidate of the same term. If the answer had left before the sync, both candidates
-/// would lead and each accept changes that the other never sees.
+/// A member grants its vote and crashes before the vote is on disk. After its restart, another
+/// candidate of the same term requests its vote. If the first reply were sent before the sync, both
+/// candidates would lead, and each would commit changes that the other never receives.
 #[test]
-fn a_vote_that_was_not_synced_was_not_given() {
+fn a_vote_is_not_sent_before_it_is_synced() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
     sim.campaign(0);
     sim.campaign(2);
@@ -36,67 +36,83 @@
     sim.deliver_where(|from, to, message| from == 2 && to == 1 && is_vote(message), false);
     sim.deliver_where(|_, to, message| to == 0 && is_vote_reply(message), false);
     sim.deliver_where(|_, to, message| to == 2 && is_vote_reply(message), false);
-    // The ledger panics on two leaders of one term; here one leads, with the vote that lasted.
+    // The ledger panics if a term has two leaders. Only the candidate that got the synced vote
+    // leads.
     assert_eq!(sim.leaders().len(), 1);
     assert_eq!(sim.leader(), Some(2));
 }
 
-/// A leader's change reaches a second member only after the leader was deposed and elected anew.
-/// A majority holds it, but a third member with a later term can still replace it. If the leader
-/// accepted it by counting, the operator would see an accepted change revert.
+/// A leader's entry reaches a second member only after the leader was deposed and elected again. A
+/// majority then holds the entry, but a third member whose last entry has a later term can still
+/// replace it. If the leader committed it by counting replicas, the operator would see a committed
+/// change revert.
 #[test]
-fn an_entry_of_an_earlier_term_is_not_accepted_by_count() {
-    // One entry in each message, so that the old entry travels before the new leader's own.
+fn an_entry_of_an_earlier_term_is_not_committed_by_counting_replicas() {
+    // One entry per message, so that the old entry is delivered before the new leader's own.
     let config = ReplicaConfig { max_append_bytes: 1, ..ReplicaConfig::default() };
     let mut sim = GroupSim::new(3, config);
-    // Member 0 leads and keeps its first entries to itself.
+    // Member 0 leads; its first entries reach no other member.
     elect(&mut sim, 0, 1);
     sim.lose_all();
     let first = sim.submit(0, organisation_edit(1));
     sim.lose_all();
-    // Member 2 is elected by member 1, whose log is no longer than its own, and tells nobody.
+    // Member 2 is elected by member 1, whose log is no longer than its own. Its first entry reaches
+    // no other member.
     elect(&mut sim, 2, 1);
     sim.lose_all();
-    // Member 0 learns from member 1 that it was deposed.
+    // Member 0 learns from a reply of member 1 that it was deposed.
     sim.tick(Duration::from_millis(250));
     sim.deliver_where(|from, to, m| from == 0 && to == 1 && is_append(m), false);
     sim.deliver_where(|from, to, m| from == 1 && to == 0 && is_append_reply(m), false);
-    // Member 0 is elected again and member 1 takes its old entries, but not yet the new one.
+    // Member 0 is elected again. Member 1 receives its old entries, but not yet that of the new
+    // term.
     elect(&mut sim, 0, 1);
-    let target = sim.node(0).map(|node| node.status().last_index.0 - 1);
+    let old_last_index = sim.node(0).map(|node| node.status().last_index.0 - 1);
     for _ in 0..40 {
         let reached = sim.node(1).map(|node| node.status().last_index.0);
-        if reached >= target {
+        if reached >= old_last_index {
             break;
         }
-        let took = sim.deliver_first(|from, to, m| from == 0 && to == 1 && is_append(m));
-        if !took {
+        let delivered = sim.deliver_first(|from, to, m| from == 0 && to == 1 && is_append(m));
+        if !delivered {
             sim.deliver_first(|from, to, m| from == 1 && to == 0 && is_append_reply(m));
         }
     }
     assert_eq!(
         sim.node(1).map(|node| node.status().last_index.0),
-        target,
-        "the old entries are there"
+        old_last_index,
+        "member 1 has the old entries"
     );
     sim.deliver_where(|from, to, m| from == 1 && to == 0 && is_append_reply(m), false);
     sim.lose_all();
-    assert_eq!(*sim.reply(first), SimReply::Pending, "a majority holds it, but of an old term");
-    // Member 2 has a later term in its log, so member 1 must vote for it, and it replaces all.
+    assert_eq!(
+        *sim.reply(first),
+        SimReply::Pending,
+        "a majority holds an entry of an earlier term"
+    );
+    // The last entry of member 2 has a later term, so member 1 must vote for it, and it replaces
+    // the entries of the others.
     sim.crash(0);
     elect(&mut sim, 2, 1);
     sim.run(Duration::from_secs(2));
     sim.restart(0);
     sim.run(Duration::from_secs(2));
-    assert_eq!(*sim.reply(first), SimReply::Pending, "its caller never heard that it was accepted");
+    assert_eq!(
+        *sim.reply(first),
+        SimReply::Pending,
+        "its caller was never told that it was committed"
+    );
 }
 
-/// Makes `candidate` leader by the vote of `voter` alone.
+/// Makes `candidate` leader with no other vote than its own and that of `voter`.
 fn elect(sim: &mut GroupSim, candidate: usize, voter: usize) {
     for _ in 0..10 {
         sim.campaign(candidate);
-        sim.deliver_where(|f, t, m| f == candidate && t == voter && is_vote(m), false);
-        sim.deliver_where(|f, t, m| f == voter && t == candidate && is_vote_reply(m), false);
+        sim.deliver_where(|from, to, m| from == candidate && to == voter && is_vote(m), false);
+        sim.deliver_where(
+            |from, to, m| from == voter && to == candidate && is_vote_reply(m),
+            false,
+        );
         if sim.leaders().iter().any(|(number, _)| *number == candidate) {
             return;
         }
@@ -104,49 +120,57 @@
     panic!("member {candidate} was not elected");
 }
 
-/// A control member is cut off silently while it leads, and operators go on sending it changes for
-/// minutes. None may be accepted there, the others must go on, and on its return it must take their
-/// state and not disturb their leader.
+/// A leader is isolated for minutes without being told, and operators send it changes. It must
+/// commit none of them, the other members must continue, and after its return it must adopt their
+/// state without disturbing their leader.
 #[test]
-fn a_leader_cut_off_for_minutes_accepts_nothing() {
+fn a_leader_isolated_for_minutes_commits_nothing() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let old = sim.run_until_led();
-    sim.isolate(old);
-    let lost: Vec<usize> =
-        (0..20).map(|number| sim.submit(old, organisation_edit(number))).collect();
+    let old_leader = sim.run_until_led();
+    sim.isolate(old_leader);
+    let isolated_tokens: Vec<usize> =
+        (0..20).map(|number| sim.submit(old_leader, organisation_edit(number))).collect();
     sim.run(Duration::from_secs(5));
-    let new = sim.leader().expect("the others elect one of them");
-    assert_ne!(new, old);
-    assert!(!sim.node(old).expect("it runs").is_leader(), "it knows that it lost its quorum");
-    let kept = sim.submit(new, organisation_edit(100));
+    let new_leader = sim.leader().expect("the other members elect a leader");
+    assert_ne!(new_leader, old_leader);
+    assert!(
+        !sim.node(old_leader).expect("the member is running").is_leader(),
+        "the isolated leader has stepped down"
+    );
+    let committed_token = sim.submit(new_leader, organisation_edit(100));
     sim.run(Duration::from_secs(180));
-    let term = sim.node(new).expect("it runs").status().term;
+    let term = sim.node(new_leader).expect("the member is running").status().term;
     sim.heal();
     sim.run(Duration::from_secs(3));
-    assert_eq!(sim.node(new).expect("it runs").status().term, term, "the leader was not disturbed");
-    assert!(matches!(sim.reply(kept), SimReply::Applied(_)));
-    for token in lost {
-        assert!(!matches!(sim.reply(token), SimReply::Applied(_)), "accepted without a quorum");
+    assert_eq!(
+        sim.node(new_leader).expect("the member is running").status().term,
+        term,
+        "the leader kept its term"
+    );
+    assert!(matches!(sim.reply(committed_token), SimReply::Applied(_)));
+    for token in isolated_tokens {
+        assert!(!matches!(sim.reply(token), SimReply::Applied(_)), "committed without a quorum");
     }
-    assert_eq!(sim.catalog(old).encode(), sim.catalog(new).encode());
+    assert_eq!(sim.catalog(old_leader).encode(), sim.catalog(new_leader).encode());
 }
 
-/// A member loses its disk and is replaced; right after that a second one is lost. With the lost
-/// member removed before its replacement votes, the two that remain are a majority of three.
+/// A member loses its disk and is replaced; right afterwards a second member crashes. Because the
+/// lost member is removed before its replacement becomes a voter, the remaining two are a majority
+/// of three.
 #[test]
-fn a_second_loss_right_after_a_repair_is_survived() {
+fn the_group_survives_a_second_loss_right_after_a_repair() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
     let leader = sim.run_until_led();
     let others: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
     sim.lose_disk(others[0]);
-    let fresh = sim.add_blank();
+    let replacement = sim.add_blank();
     let steps = [
-        MembershipChange::AddLearner(sim.record(fresh)),
+        MembershipChange::AddLearner(sim.record(replacement)),
         MembershipChange::Remove(sim.id(others[0])),
-        MembershipChange::Promote(sim.id(fresh)),
+        MembershipChange::Promote(sim.id(replacement)),
     ];
     for step in &steps {
-        sim.change_members(leader, step).expect("each step is taken");
+        sim.change_members(leader, step).expect("the leader accepts each step");
         sim.run(Duration::from_secs(1));
     }
     sim.crash(others[1]);
@@ -155,34 +179,34 @@
     assert!(matches!(sim.reply(token), SimReply::Applied(_)));
 }
 
-/// The same loss in the middle of the repair: two voters are left and one dies. Nothing may be
-/// accepted any more, and nobody may lead alone, until one of them returns.
+/// The second member crashes in the middle of the repair, while only two voters are left. Until it
+/// returns, no change may be committed and no member may lead alone.
 #[test]
-fn a_second_loss_during_a_repair_stops_and_does_not_split() {
+fn a_second_loss_during_a_repair_stops_the_group_and_does_not_split_it() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
     let leader = sim.run_until_led();
     let others: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
     sim.lose_disk(others[0]);
     let removal = MembershipChange::Remove(sim.id(others[0]));
-    sim.change_members(leader, &removal).expect("the step is taken");
+    sim.change_members(leader, &removal).expect("the leader accepts the change");
     sim.run(Duration::from_secs(1));
     sim.crash(others[1]);
     let token = sim.submit(leader, organisation_edit(7));
     sim.run(Duration::from_secs(10));
     assert_eq!(*sim.reply(token), SimReply::Pending);
-    assert!(sim.leaders().is_empty(), "nobody leads without a quorum");
+    assert!(sim.leaders().is_empty(), "no member leads without a quorum");
     sim.restart(others[1]);
     sim.run_until_led();
 }
 
-/// A member whose disk was replaced by an empty one starts under a new id. It must not vote: with
-/// its former vote it could elect a leader without an accepted change.
+/// A member whose disk was replaced by an empty one starts under a new id and must not vote: with
+/// the vote of its old id it could help to elect a leader that lacks a committed change.
 #[test]
-fn a_member_with_an_empty_disk_does_not_vote_as_its_former_self() {
+fn a_member_with_an_empty_disk_does_not_vote_in_place_of_its_old_id() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
     let leader = sim.run_until_led();
     let others: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
-    // Accepted by the leader and one other; the third never hears of it.
+    // Committed by the leader and one other member; the third never receives it.
     sim.isolate(others[1]);
     let token = sim.submit(leader, organisation_edit(1));
     sim.run(Duration::from_secs(1));
@@ -192,95 +216,100 @@
     sim.add_blank();
     sim.heal();
     sim.run(Duration::from_secs(10));
-    assert!(sim.leaders().is_empty(), "the third member and a blank one are no quorum");
+    assert!(sim.leaders().is_empty(), "the third member and one with an empty disk are no quorum");
     sim.restart(leader);
-    let again = sim.run_until_led();
+    let new_leader = sim.run_until_led();
     sim.run(Duration::from_secs(1));
     let name = OrganisationName::try_from("org-1").expect("a valid name");
-    assert!(sim.catalog(again).view().organisations.contains_key(&name));
+    assert!(sim.catalog(new_leader).view().organisations.contains_key(&name));
 }
 
-/// A member that was replaced comes back with its old disk. It is told that it is out, and the
-/// group's leader is not disturbed.
+/// A removed member returns with its old disk. It must learn that it was removed, and it must not
+/// disturb the group's leader.
 #[test]
-fn a_replaced_member_that_returns_is_refused() {
+fn a_removed_member_that_returns_is_rejected() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
     let leader = sim.run_until_led();
-    let gone = (0..3).find(|number| *number != leader).expect("another member");
-    sim.crash(gone);
-    sim.change_members(leader, &MembershipChange::Remove(sim.id(gone))).expect("taken");
+    let removed = (0..3).find(|number| *number != leader).expect("another member");
+    sim.crash(removed);
+    sim.change_members(leader, &MembershipChange::Remove(sim.id(removed)))
+        .expect("the leader accepts the change");
     sim.run(Duration::from_secs(1));
-    let term = sim.node(leader).expect("it runs").status().term;
-    sim.restart(gone);
+    let term = sim.node(leader).expect("the member is running").status().term;
+    sim.restart(removed);
     sim.run(Duration::from_secs(10));
-    assert_eq!(sim.node(gone).expect("it runs").status().role, NodeRole::Removed);
-    assert_eq!(sim.node(leader).expect("it runs").status().term, term);
+    assert_eq!(sim.node(removed).expect("the member is running").status().role, NodeRole::Removed);
+    assert_eq!(sim.node(leader).expect("the member is running").status().term, term);
     assert_eq!(sim.leader(), Some(leader));
 }
 
-/// A leader removes itself and dies before anybody else has the entry. It comes back with the
-/// longest log and would vote for nobody else; the group must find a leader all the same.
+/// A leader appends its own removal and crashes before any other member has the entry. After its
+/// restart it has the longest log and votes for no other member; the group must elect a leader
+/// nevertheless.
 #[test]
-fn a_leader_that_dies_while_it_removes_itself_does_not_block_the_group() {
+fn a_leader_that_crashes_while_it_removes_itself_does_not_block_the_group() {
     let mut sim = GroupSim::new(2, ReplicaConfig::default());
     let leader = sim.run_until_led();
     sim.run(Duration::from_secs(1));
     let removal = MembershipChange::Remove(sim.id(leader));
-    sim.change_members(leader, &removal).expect("the step is taken");
+    sim.change_members(leader, &removal).expect("the leader accepts the change");
     sim.lose_all();
     sim.crash(leader);
     sim.restart(leader);
     sim.run(Duration::from_secs(20));
-    let last = sim.leader().expect("somebody leads");
-    assert_ne!(last, leader, "and the removal went through");
+    let new_leader = sim.leader().expect("a leader is elected");
+    assert_ne!(new_leader, leader, "the removal is committed");
 }
 
-/// A learner that has not answered yet is promoted by an impatient operator. It would count for
-/// the quorum without helping it; the step is refused.
+/// An operator promotes a learner that has not replied yet. As a voter it would raise the quorum's
+/// size without contributing to it, so the leader must reject the change.
 #[test]
-fn a_learner_that_never_answered_cannot_vote() {
+fn a_learner_that_never_replied_cannot_be_promoted() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
     let leader = sim.run_until_led();
-    let fresh = sim.add_blank();
-    sim.isolate(fresh);
-    let add = MembershipChange::AddLearner(sim.record(fresh));
-    sim.change_members(leader, &add).expect("the step is taken");
+    let learner = sim.add_blank();
+    sim.isolate(learner);
+    let add = MembershipChange::AddLearner(sim.record(learner));
+    sim.change_members(leader, &add).expect("the leader accepts the change");
     sim.run(Duration::from_secs(1));
-    let promote = MembershipChange::Promote(sim.id(fresh));
+    let promote = MembershipChange::Promote(sim.id(learner));
     assert!(sim.change_members(leader, &promote).is_err());
     sim.heal();
     sim.run(Duration::from_secs(1));
     assert!(sim.change_members(leader, &promote).is_ok());
 }
 
-/// A member that was down for long gets a snapshot in pieces, and the connection breaks halfway.
-/// It must end with the leader's state, and never with half of one.
+/// A member that was down for long receives a snapshot in pieces, and the connection breaks during
+/// the transfer. It must end with the leader's state and must never apply part of a snapshot.
 #[test]
-fn a_snapshot_cut_off_midway_is_finished_later() {
+fn an_interrupted_snapshot_transfer_is_completed_later() {
     let config = ReplicaConfig { snapshot_piece_bytes: 64, ..ReplicaConfig::default() };
     let mut sim = GroupSim::new(3, config);
     let leader = sim.run_until_led();
-    let behind = (0..3).find(|number| *number != leader).expect("another member");
-    sim.crash(behind);
+    let lagging = (0..3).find(|number| *number != leader).expect("another member");
+    sim.crash(lagging);
     for number in 0..50 {
         sim.submit(leader, organisation_edit(number));
     }
     sim.run(Duration::from_secs(1));
     sim.compact(leader);
-    sim.restart(behind);
+    sim.restart(lagging);
     sim.run(Duration::from_millis(20));
-    sim.isolate(behind);
+    sim.isolate(lagging);
     sim.run(Duration::from_secs(1));
-    assert!(sim.catalog(behind).view().organisations.is_empty(), "half a snapshot is none");
+    assert!(
+        sim.catalog(lagging).view().organisations.is_empty(),
+        "an incomplete snapshot is not applied"
+    );
     sim.heal();
     sim.run(Duration::from_secs(10));
-    assert_eq!(sim.catalog(behind).encode(), sim.catalog(leader).encode());
+    assert_eq!(sim.catalog(lagging).encode(), sim.catalog(leader).encode());
 }
 
-/// All members restart after hundreds of changes, some behind a snapshot. The configuration must
-/// be there again, at the same revision and never a lower one.
+/// All members restart after hundreds of changes, of which a snapshot on the leader covers a part.
+/// The configuration must be complete again, at the same revision and never at a lower one.
 #[test]
-fn a_restart_of_all_after_hundreds_of_changes_keeps_everything() {
+fn a_restart_of_all_members_keeps_the_complete_configuration() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
     let leader = sim.run_until_led();
     for number in 0..400 {
@@ -306,30 +335,32 @@
     }
 }
 
-/// An operator's change is accepted, but callers of some entries meet the old one a fifth of a
-/// second longer than others: a member that is told of the commitment by the next heartbeat only
-/// applies the change that much later than the leader.
+/// A follower that learned the commit index only from the next heartbeat would apply a committed
+/// change up to 200 ms later than the leader, and callers of the entries that watch it would meet
+/// the previous configuration that much longer than others.
 #[test]
-fn followers_hear_of_a_commitment_before_the_next_heartbeat() {
+fn followers_learn_the_commit_index_before_the_next_heartbeat() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
     let leader = sim.run_until_led();
     sim.run(Duration::from_secs(1));
     for number in 1..=8 {
         sim.submit(leader, organisation_edit(number));
-        // A message and its answer, twice, take a small part of the 200 ms between heartbeats.
+        // Two round trips take a small part of the 200 ms between heartbeats.
         sim.run(Duration::from_millis(60));
-        let commits: Vec<u64> =
-            (0..3).map(|at| sim.node(at).expect("it runs").status().commit_index.0).collect();
-        assert_eq!(commits, [commits[leader]; 3], "after change {number}");
+        let commit_indexes: Vec<u64> = (0..3)
+            .map(|at| sim.node(at).expect("the member is running").status().commit_index.0)
+            .collect();
+        assert_eq!(commit_indexes, [commit_indexes[leader]; 3], "after change {number}");
         sim.run(Duration::from_millis(37));
     }
 }
 
-/// Callers are refused for the time of an election after all of control was killed and is back at
-/// once: every member has the configuration on its disk, and none knows that it is committed. What
-/// was committed a moment before the kill is applied at the start, without any leader.
+/// All control members are killed and restarted at once. Every member has the configuration on its
+/// disk, but if none knew that it is committed, callers would be rejected for the duration of an
+/// election. Changes committed shortly before the kill must be applied at the start, without a
+/// leader.
 #[test]
-fn what_was_committed_is_served_before_anybody_leads() {
+fn committed_changes_are_applied_before_a_leader_is_elected() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
     let leader = sim.run_until_led();
     let token = sim.submit(leader, organisation_edit(1));
@@ -341,7 +372,7 @@
     for number in 0..3 {
         sim.restart(number);
     }
-    // One tick, far below the shortest election timeout.
+    // 30 ms, far below the shortest election timeout.
     sim.run(Duration::from_millis(30));
     assert_eq!(sim.leader(), None);
     for number in 0..3 {
--- a/tests/all/group_model.rs
+++ b/tests/all/group_model.rs
@@ -1,5 +1,5 @@
-//! The control group under everything a network, a disk and a scheduler can do, driven against
-//! the one rule that matters: what was accepted stays accepted, everywhere and in order.
+//! The control group under random faults of the network, the disks and the scheduler, checked for
+//! one property: a committed change stays committed, on all members and in the same order.
 
 use crate::support::organisation_edit;
 use egretseam_proto::OrganisationName;
@@ -12,12 +12,12 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use std::time::Duration;
 
-/// Members that the group begins with.
+/// Voters of the initial group.
 const VOTERS: usize = 3;
-/// Members that may be started over a run.
-const MOST_MEMBERS: usize = 6;
+/// Members that one test case may start in total.
+const MAX_MEMBERS: usize = 6;
 
-/// One event.
+/// One step of a test case: a fault, a request or the passing of time.
 #[derive(Clone, Debug)]
 enum GroupEvent {
     Deliver(usize),
@@ -48,8 +48,8 @@
     Remove(usize),
 }
 
-/// The reference knows only how many members were started and how many commands were sent; what
-/// was accepted is judged by the ledger that the group itself keeps.
+/// The reference model, which counts only the members started and the commands submitted. The
+/// ledger of the simulated group checks what was committed.
 #[derive(Clone, Debug)]
 struct GroupReference {
     members: usize,
@@ -112,7 +112,7 @@
     fn preconditions(state: &Self, event: &GroupEvent) -> bool {
         let exists = |at: &usize| *at < state.members;
         match event {
-            GroupEvent::AddBlank => state.members < MOST_MEMBERS,
+            GroupEvent::AddBlank => state.members < MAX_MEMBERS,
             GroupEvent::Submit(at, _) => exists(at),
             GroupEvent::Cut(a, b) => a != b && exists(a) && exists(b),
             GroupEvent::Campaign(at)
@@ -133,18 +133,19 @@
 
 struct GroupUnderTest {
     sim: GroupSim,
-    /// Replies that said a command was accepted, by its number.
-    accepted: Vec<(usize, u64)>,
-    tokens: Vec<(usize, u64)>,
+    /// Reply token and command number of each command that was reported as committed.
+    committed: Vec<(usize, u64)>,
+    /// Reply token and command number of each command submitted.
+    submitted: Vec<(usize, u64)>,
     reads: u64,
 }
 
 impl GroupUnderTest {
     fn collect_replies(&mut self) {
-        for (token, number) in &self.tokens {
-            let known = self.accepted.iter().any(|(known, _)| known == token);
-            if !known && matches!(self.sim.reply(*token), SimReply::Applied(_)) {
-                self.accepted.push((*token, *number));
+        for (token, number) in &self.submitted {
+            let is_recorded = self.committed.iter().any(|(recorded, _)| recorded == token);
+            if !is_recorded && matches!(self.sim.reply(*token), SimReply::Applied(_)) {
+                self.committed.push((*token, *number));
             }
         }
     }
@@ -157,7 +158,7 @@
     fn init_test(_: &GroupReference) -> Self {
         let config = ReplicaConfig { promote_max_lag: 4, ..ReplicaConfig::default() };
         let sim = GroupSim::new(VOTERS, config);
-        Self { sim, accepted: Vec::new(), tokens: Vec::new(), reads: 0 }
+        Self { sim, committed: Vec::new(), submitted: Vec::new(), reads: 0 }
     }
 
     fn apply(mut test: Self, _: &GroupReference, event: GroupEvent) -> Self {
@@ -171,18 +172,18 @@
             GroupEvent::Run(millis) => sim.run(Duration::from_millis(millis)),
             GroupEvent::Submit(at, number) => {
                 let token = sim.submit(at, organisation_edit(number));
-                test.tokens.push((token, number));
+                test.submitted.push((token, number));
             }
             GroupEvent::SubmitToLeader(at, number) => {
                 if let Some(leader) = nth_leader(sim, at) {
                     let token = sim.submit(leader, organisation_edit(number));
-                    test.tokens.push((token, number));
+                    test.submitted.push((token, number));
                 }
             }
             GroupEvent::SubmitAndCrash(at, number) => {
                 if let Some(leader) = nth_leader(sim, at) {
                     let token = sim.submit_and_crash(leader, organisation_edit(number));
-                    test.tokens.push((token, number));
+                    test.submitted.push((token, number));
                 }
             }
             GroupEvent::RunUntilLed => sim.run_until_led_or(Duration::from_secs(4)),
@@ -225,8 +226,8 @@
         test
     }
 
-    /// After everything is mended and restarted, the group leads again and holds every accepted
-    /// command, however often it was interrupted.
+    /// After all cuts are healed and all members run again, the group elects a leader that holds
+    /// every committed command, however many faults came before.
     fn teardown(mut test: Self, _: GroupReference) {
         let sim = &mut test.sim;
         sim.heal();
@@ -239,20 +240,23 @@
         let leader = sim.leader().unwrap_or(leader);
         test.collect_replies();
         let view = test.sim.catalog(leader).view();
-        for (_, number) in &test.accepted {
+        for (_, number) in &test.committed {
             let name = OrganisationName::try_from(format!("org-{number}")).expect("a valid name");
-            assert!(view.organisations.contains_key(&name), "accepted command {number} is gone");
+            assert!(
+                view.organisations.contains_key(&name),
+                "committed command {number} is missing"
+            );
         }
     }
 }
 
-/// One of the members that believe to lead; a deposed one that does not know it yet among them.
+/// One of the members that act as leader, which may be a deposed one that does not know it yet.
 fn nth_leader(sim: &GroupSim, at: usize) -> Option<usize> {
     let leaders = sim.leaders();
     leaders.get(at % leaders.len().max(1)).map(|(number, _)| *number)
 }
 
-/// Asks whoever leads for a step of membership; a refusal is one of its right answers.
+/// Requests a membership change from the current leader, which may rightly reject it.
 fn change(sim: &mut GroupSim, change: &MembershipChange) {
     if let Some(leader) = sim.leader() {
         sim.change_members(leader, change).ok();
@@ -269,5 +273,5 @@
     })]
 
     #[test]
-    fn accepted_commands_survive_everything(sequential 1..250 => GroupUnderTest);
+    fn committed_commands_survive_all_faults(sequential 1..250 => GroupUnderTest);
 }
