--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -74,14 +74,14 @@
         seed: u64,
     ) -> Self {
         let log = LogTable::new(state.snapshot, state.entries);
-        let commit_index = state.commit.min(log.last_index()).max(log.snapshot().index);
+        let commit_index = state.commit_index.min(log.last_index()).max(log.snapshot().index);
         let mut node = Self {
             id: identity.id,
             config,
             now: Duration::ZERO,
             rng_state: election::mix_seed(seed, identity.id),
-            hard_state: state.hard,
-            group: state.hard.group.or(identity.group),
+            hard_state: state.hard_state,
+            group: state.hard_state.group.or(identity.group),
             commit_index,
             written_commit_index: commit_index,
             delivered_index: log.snapshot().index,
@@ -236,7 +236,7 @@
         let Some(term) = self.log.term_at(index) else { return };
         let membership = self.log.membership_at(index).clone();
         let image = SnapshotImage { index, term, membership, data };
-        self.log.install(image.clone());
+        self.log.install_snapshot(image.clone());
         self.output.writes.push(LogWrite::Snapshot { image, keep_tail: true });
     }
 
--- a/crates/replica/src/node/follower.rs
+++ b/crates/replica/src/node/follower.rs
@@ -159,7 +159,7 @@
         }
         let image =
             SnapshotImage { index, term: incoming.last_term, membership, data: incoming.data };
-        let keep_tail = self.log.install(image.clone());
+        let keep_tail = self.log.install_snapshot(image.clone());
         self.commit_index = index;
         self.delivered_index = index;
         // Entries delivered but not yet taken by the driver are covered by the snapshot.
--- a/crates/replica/src/node/leader.rs
+++ b/crates/replica/src/node/leader.rs
@@ -113,7 +113,8 @@
                 return Err(ProposeError::NotCaughtUp);
             }
         }
-        let next = self.log.membership().changed(change).ok_or(ProposeError::InvalidChange)?;
+        let next =
+            self.log.membership().with_change(change).ok_or(ProposeError::InvalidChange)?;
         if self.log.last_index().0 - self.commit_index.0 >= MAX_UNCOMMITTED_ENTRIES {
             return Err(ProposeError::Busy);
         }
@@ -344,7 +345,7 @@
         let entries = if blocked {
             Vec::new()
         } else {
-            self.log.slice(peer.next_index, self.config.max_append_bytes)
+            self.log.entries_from(peer.next_index, self.config.max_append_bytes)
         };
         // A peer that has every committed entry is sent a new commit index at once: it applies a
         // change, and passes it on to its watchers, only when it knows that it is committed. With
--- a/crates/stager/src/runtime.rs
+++ b/crates/stager/src/runtime.rs
@@ -5,9 +5,9 @@
     dialect::EngineDialect,
     engine, follow, loads, older,
     options::{StagerListeners, StagerOptions},
-    probe,
+    probe, reconcile,
     shared::StagerShared,
-    switch, work,
+    switch,
 };
 use egretseam_http::DaemonMetrics;
 use egretseam_rpc::{RpcOptions, RpcServer, serve_chunks};
@@ -22,7 +22,7 @@
     Listener(#[from] io::Error),
 }
 
-/// A running agent. It holds nothing that a stop could lose.
+/// A running agent. It keeps no state that would be lost when it stops.
 pub struct StagerRuntime {
     _shared: Rc<StagerShared>,
     _chunks: RpcServer,
@@ -45,11 +45,11 @@
         let chunks = serve_chunks(listeners.chunks, secret, RpcOptions::default(), handler)?;
         actix_rt::spawn(engine::watch(Rc::downgrade(&shared)));
         actix_rt::spawn(follow::follow(Rc::downgrade(&shared)));
-        actix_rt::spawn(loads::tell(Rc::downgrade(&shared)));
+        actix_rt::spawn(loads::send(Rc::downgrade(&shared)));
         actix_rt::spawn(probe::run(Rc::downgrade(&shared)));
         actix_rt::spawn(older::watch(Rc::downgrade(&shared)));
-        actix_rt::spawn(switch::watch_open_orders(Rc::downgrade(&shared)));
-        actix_rt::spawn(work::work(Rc::downgrade(&shared)));
+        actix_rt::spawn(switch::resend_outstanding_orders(Rc::downgrade(&shared)));
+        actix_rt::spawn(reconcile::run(Rc::downgrade(&shared)));
         Ok(Self { _shared: shared, _chunks: chunks })
     }
 }
