--- a/crates/replica/src/node/follower.rs
+++ b/crates/replica/src/node/follower.rs
@@ -42,7 +42,7 @@
         commit: LogIndex,
         round: u64,
     ) {
-        let matched = LogIndex(previous_index.0 + entries.len() as u64);
+        let match_index = LogIndex(previous_index.0 + entries.len() as u64);
         let snapshot_index = self.log.snapshot().index;
         if previous_index < snapshot_index {
             // Entries that the snapshot covers are committed and need no comparison.
@@ -57,8 +57,9 @@
                 return;
             }
         }
-        self.commit_index = self.commit_index.max(commit.min(matched).min(self.log.last_index()));
-        let index = matched.min(self.log.last_index());
+        self.commit_index =
+            self.commit_index.max(commit.min(match_index).min(self.log.last_index()));
+        let index = match_index.min(self.log.last_index());
         self.send_after_sync(from, Message::AppendReply { index, matched: true, round });
     }
 
--- a/crates/replica/src/node/leader.rs
+++ b/crates/replica/src/node/leader.rs
@@ -107,14 +107,13 @@
             return Err(ProposeError::ChangeInProgress);
         }
         if let MembershipChange::Promote(id) = change {
-            let matched = state.peers.get(id).map_or(LogIndex(0), |peer| peer.match_index);
-            let lag = self.log.last_index().0 - matched.0;
-            if matched == LogIndex(0) || lag > self.config.promote_max_lag {
+            let match_index = state.peers.get(id).map_or(LogIndex(0), |peer| peer.match_index);
+            let lag = self.log.last_index().0 - match_index.0;
+            if match_index == LogIndex(0) || lag > self.config.promote_max_lag {
                 return Err(ProposeError::NotCaughtUp);
             }
         }
-        let next =
-            self.log.membership().with_change(change).ok_or(ProposeError::InvalidChange)?;
+        let next = self.log.membership().with_change(change).ok_or(ProposeError::InvalidChange)?;
         if self.log.last_index().0 - self.commit_index.0 >= MAX_UNCOMMITTED_ENTRIES {
             return Err(ProposeError::Busy);
         }
