--- a/crates/agent/src/follower.rs
+++ b/crates/agent/src/follower.rs
@@ -13,7 +13,7 @@
     weights::{self, WantedWeights},
 };
 use egretseam_catalog::{
-    CatalogCommand, CatalogReply, ProfileRecord, SwitchDenial, SwitchOutcome, SwitchRecord,
+    CatalogCommand, CatalogReply, ProfileRecord, SwitchDenial, SwitchGrant, SwitchOutcome,
     SwitchRequest,
 };
 use egretseam_proto::{ManifestId, ProfileName, ServingVersion, TargetState};
@@ -259,7 +259,7 @@
 
 async fn carry_out(
     shared: &Rc<AgentShared>,
-    grant: &SwitchRecord,
+    grant: &SwitchGrant,
     wanted: &WantedWeights,
     parts: &[WholeWeights],
     until: Instant,
--- a/crates/agent/src/keys.rs
+++ b/crates/agent/src/keys.rs
@@ -1,7 +1,7 @@
 //! Requests that must not run twice, by key: the one place that decides whether a key has run.
 
 use bytes::Bytes;
-use egretseam_catalog::{CLAIM_WINDOW_MILLIS, LogTime};
+use egretseam_catalog::{CLAIM_RETENTION_MILLIS, LogTime};
 use egretseam_proto::{FailureReport, OrganisationName, RefusalReason, RequestKey, RequestVerdict};
 use indexmap::IndexMap;
 use std::rc::Rc;
@@ -158,7 +158,7 @@
 
     /// Rows stand in the order of their time, so old ones are at the front.
     fn forget_old(&mut self, clock: LogTime) {
-        let old = |row: &KeyRow| row.at.plus_millis(CLAIM_WINDOW_MILLIS + MARGIN_MILLIS) < clock;
+        let old = |row: &KeyRow| row.at.plus_millis(CLAIM_RETENTION_MILLIS + MARGIN_MILLIS) < clock;
         let ended = |row: &KeyRow| !matches!(row.state, KeyState::Running(_));
         let count = self.rows.values().take_while(|row| old(row) && ended(row)).count();
         for (_, row) in self.rows.drain(..count) {
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -7,7 +7,7 @@
 use clap::Args;
 use egretseam_catalog::{
     CatalogCommand, CatalogState, ClaimRequest, ConfigEdit, EditRequest, LogTime, OrganisationSpec,
-    ProfileSpec, StampedCommand, TargetRun,
+    ProfileSpec, TargetIncarnation, TimestampedCommand,
 };
 use egretseam_local::{ClusterOptions, LocalCluster};
 use egretseam_proto::{
@@ -183,10 +183,10 @@
             organisation: OrganisationName::try_from("kehila")?,
             key: RequestKey::try_from(format!("seat-assignment-{number:08}"))?,
             digest: ChunkDigest::of(&number.to_le_bytes()),
-            run: TargetRun { target: name(number % 1_000)?, incarnation: Incarnation(1) },
+            run: TargetIncarnation { target: name(number % 1_000)?, incarnation: Incarnation(1) },
         };
         let command = CatalogCommand::Claim(vec![request]);
-        state.apply(&StampedCommand { at: LogTime(number as u64), command });
+        state.apply(&TimestampedCommand { at: LogTime(number as u64), command });
     }
     Ok(state)
 }
@@ -214,14 +214,14 @@
     Ok(SlopeRow::new("claim applied", "microseconds", points))
 }
 
-fn edit(operation: u64, base: u64, edit: ConfigEdit) -> StampedCommand {
+fn edit(operation: u64, base: u64, edit: ConfigEdit) -> TimestampedCommand {
     let request = EditRequest {
         operation: OperationId(operation),
         base: Revision(base),
         actor: "bench".to_owned(),
         edit,
     };
-    StampedCommand { at: LogTime(0), command: CatalogCommand::Edit(request) }
+    TimestampedCommand { at: LogTime(0), command: CatalogCommand::Edit(request) }
 }
 
 fn change_bytes() -> anyhow::Result<SlopeRow> {
--- a/crates/catalog/src/claim.rs
+++ b/crates/catalog/src/claim.rs
@@ -11,7 +11,7 @@
 
 /// One run of the agent beside one target.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct TargetRun {
+pub struct TargetIncarnation {
     /// The target.
     pub target: InstanceName,
     /// The agent's run.
@@ -28,7 +28,7 @@
     /// Digest of method, path and body; the same key with another digest is refused.
     pub digest: ChunkDigest,
     /// Where the request is to go.
-    pub run: TargetRun,
+    pub run: TargetIncarnation,
 }
 
 /// Why it is certain that the run a key is bound to has not run it and will not.
@@ -49,9 +49,9 @@
     /// The caller's key.
     pub key: RequestKey,
     /// The run that the key is bound to.
-    pub from: TargetRun,
+    pub from: TargetIncarnation,
     /// The run to bind instead.
-    pub to: TargetRun,
+    pub to: TargetIncarnation,
     /// Why that is safe.
     pub proof: RebindProof,
 }
@@ -62,7 +62,7 @@
     /// Digest of the request.
     pub digest: ChunkDigest,
     /// The run that the key is bound to.
-    pub run: TargetRun,
+    pub run: TargetIncarnation,
     /// When it was first claimed.
     pub at: LogTime,
     /// How many later claims were told where the key is bound.
@@ -75,7 +75,7 @@
     /// The key is now bound as asked.
     Bound,
     /// The key was bound before; the request belongs to this run.
-    Existing(TargetRun),
+    Existing(TargetIncarnation),
     /// The key belongs to a different request.
     DigestMismatch,
     /// The table is full; the request was not run.
--- a/crates/catalog/src/command.rs
+++ b/crates/catalog/src/command.rs
@@ -6,7 +6,7 @@
     config_view::EntryRecord,
     serving::ServingChange,
     spec::{OrganisationSpec, ProfileSpec},
-    switch::{SwitchDenial, SwitchOutcome, SwitchRecord, SwitchRequest},
+    switch::{SwitchDenial, SwitchGrant, SwitchOutcome, SwitchRequest},
 };
 use egretseam_proto::{
     ContentDigest, FencingNumber, Incarnation, InstanceName, ModelName, OperationId,
@@ -134,7 +134,7 @@
 
 /// A command with the log's clock at its proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StampedCommand {
+pub struct TimestampedCommand {
     /// Never below an earlier command's.
     pub at: LogTime,
     /// Command.
@@ -143,7 +143,7 @@
 
 /// Why an edit was refused for good.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RefusalDetail {
+pub struct EditRejection {
     /// For a person.
     pub message: String,
     /// Whether the thing to be changed does not exist.
@@ -164,9 +164,9 @@
         current: Revision,
     },
     /// The change breaks a rule.
-    Refused(RefusalDetail),
+    Refused(EditRejection),
     /// An order may be given.
-    SwitchGranted(SwitchRecord),
+    SwitchGranted(SwitchGrant),
     /// An order must wait or is refused.
     SwitchDenied(SwitchDenial),
     /// What became of each claim, in order.
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -2,7 +2,7 @@
 //! orders to targets, and claims of requests that must not be repeated.
 //!
 //! [`CatalogState::apply`] is deterministic: equal commands in equal order give equal states and
-//! replies on every member. Time reaches it only as [`StampedCommand::at`], a clock that leaders
+//! replies on every member. Time reaches it only as [`TimestampedCommand::at`], a clock that leaders
 //! advance by their own monotonic clocks, so a jump of the wall clock expires nothing.
 //!
 //! Entries and agents hold a [`ConfigView`], which is the part of the state that requests are
@@ -18,17 +18,19 @@
 mod switch;
 
 pub use crate::{
-    claim::{ClaimOutcome, ClaimRecord, ClaimRequest, RebindProof, RebindRequest, TargetRun},
+    claim::{
+        ClaimOutcome, ClaimRecord, ClaimRequest, RebindProof, RebindRequest, TargetIncarnation,
+    },
     command::{
-        CatalogCommand, CatalogReply, ConfigEdit, EditRequest, RefusalDetail, StampedCommand,
+        CatalogCommand, CatalogReply, ConfigEdit, EditRejection, EditRequest, TimestampedCommand,
     },
     config_view::{ConfigChange, ConfigUpdate, ConfigView, EntryRecord, ServiceBinding},
     serving::{ServingChange, ServingDocument},
     spec::{
         OrganisationRecord, OrganisationSpec, ProfileRecord, ProfileSpec, SpecError, WeightsSpec,
     },
-    state::{CLAIM_WINDOW_MILLIS, CatalogState, DecodeError, HistoryRecord},
-    switch::{SwitchDenial, SwitchOutcome, SwitchRecord, SwitchRequest},
+    state::{CLAIM_RETENTION_MILLIS, CatalogState, DecodeError, HistoryRecord},
+    switch::{SwitchDenial, SwitchGrant, SwitchOutcome, SwitchRequest},
 };
 
 use serde::{Deserialize, Serialize};
--- a/crates/catalog/src/state.rs
+++ b/crates/catalog/src/state.rs
@@ -4,17 +4,17 @@
 mod edits;
 mod switches;
 
-pub use claims::CLAIM_WINDOW_MILLIS;
+pub use claims::CLAIM_RETENTION_MILLIS;
 
 use crate::{
     LogTime,
     claim::ClaimRecord,
-    command::{CatalogCommand, CatalogReply, StampedCommand},
+    command::{CatalogCommand, CatalogReply, TimestampedCommand},
     config_view::{ConfigChange, ConfigUpdate, ConfigView, EntryRecord},
     contents::ContentTable,
     serving::{ServingChange, ServingDocument},
     spec::ProfileSpec,
-    switch::SwitchRecord,
+    switch::SwitchGrant,
 };
 use egretseam_proto::{
     ContentDigest, FencingNumber, Incarnation, InstanceName, ModelName, OperationId,
@@ -71,7 +71,7 @@
     histories: IndexMap<ProfileName, VecDeque<HistoryRecord>>,
     operations: IndexMap<OperationId, CatalogReply>,
     fences: IndexMap<InstanceName, FencingNumber>,
-    switches: IndexMap<InstanceName, SwitchRecord>,
+    switches: IndexMap<InstanceName, SwitchGrant>,
     rollouts: IndexMap<ProfileName, RolloutProgress>,
     claims: IndexMap<ClaimId, ClaimRecord>,
     serving: Option<ServingDocument>,
@@ -131,7 +131,7 @@
     }
 
     /// Grants in force or not yet cleared away.
-    pub fn switches(&self) -> &IndexMap<InstanceName, SwitchRecord> {
+    pub fn switches(&self) -> &IndexMap<InstanceName, SwitchGrant> {
         &self.switches
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// Applies one command.
-    pub fn apply(&mut self, stamped: &StampedCommand) -> CatalogReply {
+    pub fn apply(&mut self, stamped: &TimestampedCommand) -> CatalogReply {
         self.clock = self.clock.max(stamped.at);
         match &stamped.command {
             CatalogCommand::Edit(request) => self.apply_edit(request),
--- a/crates/catalog/src/state/claims.rs
+++ b/crates/catalog/src/state/claims.rs
@@ -8,7 +8,7 @@
 };
 
 /// How long a key is remembered after its first claim.
-pub const CLAIM_WINDOW_MILLIS: u64 = 15 * 60 * 1_000;
+pub const CLAIM_RETENTION_MILLIS: u64 = 15 * 60 * 1_000;
 /// Most keys remembered; beyond this new ones are refused rather than old ones forgotten.
 const MAX_CLAIMS: usize = 200_000;
 
@@ -71,5 +71,5 @@
 }
 
 fn is_fresh(record: &ClaimRecord, clock: LogTime) -> bool {
-    record.at.plus_millis(CLAIM_WINDOW_MILLIS) > clock
+    record.at.plus_millis(CLAIM_RETENTION_MILLIS) > clock
 }
--- a/crates/catalog/src/state/edits.rs
+++ b/crates/catalog/src/state/edits.rs
@@ -2,7 +2,7 @@
 
 use super::{CatalogState, HistoryRecord, MAX_HISTORY, MAX_OPERATIONS, RolloutProgress};
 use crate::{
-    command::{CatalogReply, ConfigEdit, EditRequest, RefusalDetail},
+    command::{CatalogReply, ConfigEdit, EditRejection, EditRequest},
     config_view::{ConfigChange, ServiceBinding},
     spec::{OrganisationRecord, ProfileRecord, ProfileSpec},
 };
@@ -60,7 +60,7 @@
         revision.unwrap_or_default()
     }
 
-    fn check_edit(&self, edit: &ConfigEdit, current: Revision) -> Result<(), RefusalDetail> {
+    fn check_edit(&self, edit: &ConfigEdit, current: Revision) -> Result<(), EditRejection> {
         let exists = current > Revision(0);
         match edit {
             ConfigEdit::DefineProfile { name, spec } => {
@@ -100,7 +100,7 @@
         }
     }
 
-    fn check_profile(&self, name: &ProfileName, spec: &ProfileSpec) -> Result<(), RefusalDetail> {
+    fn check_profile(&self, name: &ProfileName, spec: &ProfileSpec) -> Result<(), EditRejection> {
         spec.check().map_err(|error| refusal(error.to_string()))?;
         match self.view.profile_of_group(&spec.group) {
             Some((holder, _)) if holder != name => {
@@ -169,13 +169,13 @@
     }
 }
 
-fn refusal(message: String) -> RefusalDetail {
-    RefusalDetail { message, missing: false }
+fn refusal(message: String) -> EditRejection {
+    EditRejection { message, missing: false }
 }
 
-fn require(exists: bool, kind: &str, name: &str) -> Result<(), RefusalDetail> {
+fn require(exists: bool, kind: &str, name: &str) -> Result<(), EditRejection> {
     if exists {
         return Ok(());
     }
-    Err(RefusalDetail { message: format!("no {kind} {name}"), missing: true })
+    Err(EditRejection { message: format!("no {kind} {name}"), missing: true })
 }
--- a/crates/catalog/src/state/switches.rs
+++ b/crates/catalog/src/state/switches.rs
@@ -6,7 +6,7 @@
     command::CatalogReply,
     config_view::ConfigChange,
     spec::ProfileRecord,
-    switch::{SwitchDenial, SwitchOutcome, SwitchRecord, SwitchRequest},
+    switch::{SwitchDenial, SwitchGrant, SwitchOutcome, SwitchRequest},
 };
 use egretseam_proto::{FencingNumber, InstanceName, ProfileName, Revision};
 
@@ -22,7 +22,7 @@
         }
         let fence = self.fences.entry(request.target.clone()).or_default();
         *fence = FencingNumber(fence.0 + 1);
-        let record = SwitchRecord {
+        let record = SwitchGrant {
             fence: *fence,
             incarnation: request.incarnation,
             profile: request.profile.clone(),
@@ -70,7 +70,7 @@
         request: &SwitchRequest,
         record: &ProfileRecord,
     ) -> Result<(), SwitchDenial> {
-        let same_wave = |(target, held): &(&InstanceName, &SwitchRecord)| {
+        let same_wave = |(target, held): &(&InstanceName, &SwitchGrant)| {
             **target != request.target && held.in_service && held.profile == request.profile
         };
         let wave: Vec<_> = self.switches.iter().filter(same_wave).collect();
--- a/crates/catalog/src/switch.rs
+++ b/crates/catalog/src/switch.rs
@@ -30,7 +30,7 @@
 
 /// A grant in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SwitchRecord {
+pub struct SwitchGrant {
     /// Number to put on the order.
     pub fence: FencingNumber,
     /// Run that holds the grant.
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -6,7 +6,7 @@
     repair::JoinTable,
     runtime::{ControlOptions, ControlShared, StartError},
 };
-use egretseam_catalog::{CatalogCommand, CatalogState, StampedCommand};
+use egretseam_catalog::{CatalogCommand, CatalogState, TimestampedCommand};
 use egretseam_replica::{
     EntryPayload, Envelope, LogEntry, LogIndex, LogStore, LogWrite, MemberRecord, MembershipChange,
     NodeRole, ProposeError, ReadToken, ReplicaNode, ReplicaOutput, StoreError, Term,
@@ -248,7 +248,7 @@
 
     fn submit(&mut self, command: CatalogCommand, reply: oneshot::Sender<SubmitReply>) {
         let at = self.shared.clock.borrow().now();
-        let stamped = StampedCommand { at, command };
+        let stamped = TimestampedCommand { at, command };
         let bytes = postcard::to_stdvec(&stamped).expect("in-memory encoding does not fail");
         match self.node.propose(bytes) {
             Ok((term, index)) => {
@@ -410,7 +410,7 @@
     }
 
     fn apply_command(&mut self, bytes: &[u8]) -> Option<SubmitReply> {
-        let stamped: StampedCommand = match postcard::from_bytes(bytes) {
+        let stamped: TimestampedCommand = match postcard::from_bytes(bytes) {
             Ok(stamped) => stamped,
             Err(error) => {
                 // Every member fails alike on the same bytes, so skipping keeps them equal.
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -8,7 +8,7 @@
     stream,
 };
 use egretseam_catalog::{
-    ClaimOutcome, ClaimRequest, ProfileRecord, RebindProof, RebindRequest, TargetRun,
+    ClaimOutcome, ClaimRequest, ProfileRecord, RebindProof, RebindRequest, TargetIncarnation,
 };
 use egretseam_http::{HttpReply, header_text};
 use egretseam_proto::{
@@ -360,8 +360,8 @@
     }
 }
 
-fn run_of(choice: &TargetChoice) -> TargetRun {
-    TargetRun { target: choice.target.clone(), incarnation: choice.incarnation }
+fn run_of(choice: &TargetChoice) -> TargetIncarnation {
+    TargetIncarnation { target: choice.target.clone(), incarnation: choice.incarnation }
 }
 
 fn outcome_unknown(detail: &str) -> FailureReport {
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -4,7 +4,7 @@
 //! members give the first outcome again.
 
 use awc::{Client, ClientResponse, http::StatusCode};
-use egretseam_catalog::{ConfigEdit, ConfigView, EditRequest, HistoryRecord, RefusalDetail};
+use egretseam_catalog::{ConfigEdit, ConfigView, EditRejection, EditRequest, HistoryRecord};
 use egretseam_http::{ClientOptions, SecretToken, http_client, reported_failure};
 use egretseam_proto::{
     FailureReport, OperationId, ProfileName, RequestVerdict, Revision, TargetReport,
@@ -125,7 +125,7 @@
             StatusCode::NOT_FOUND | StatusCode::UNPROCESSABLE_ENTITY
                 if reported_failure(answer.headers()).is_none() =>
             {
-                Err(OperatorError::Refused(read::<RefusalDetail>(&mut answer).await?.message))
+                Err(OperatorError::Refused(read::<EditRejection>(&mut answer).await?.message))
             }
             _ => Err(failure(&mut answer).await),
         }
--- a/crates/testkit/src/group.rs
+++ b/crates/testkit/src/group.rs
@@ -3,7 +3,7 @@
 mod network;
 
 use crate::ledger::AcceptedLedger;
-use egretseam_catalog::{CatalogCommand, CatalogReply, CatalogState, StampedCommand};
+use egretseam_catalog::{CatalogCommand, CatalogReply, CatalogState, TimestampedCommand};
 use egretseam_replica::{
     EntryPayload, Envelope, GroupId, HardState, LogEntry, LogIndex, LogWrite, MemberId,
     MemberIdentity, MemberRecord, Membership, MembershipChange, ProposeError, ReadToken,
@@ -272,7 +272,7 @@
     /// Submits a command to a member; returns the number of its reply.
     pub fn submit(&mut self, number: usize, command: CatalogCommand) -> usize {
         let at = egretseam_catalog::LogTime(self.log_millis);
-        let stamped = StampedCommand { at, command };
+        let stamped = TimestampedCommand { at, command };
         let bytes = postcard::to_stdvec(&stamped).expect("in-memory encoding does not fail");
         let token = self.replies.len();
         self.replies.push(SimReply::Pending);
@@ -417,7 +417,8 @@
         member.applied = entry.index;
         let mut reply = None;
         if let EntryPayload::Command(bytes) = &entry.payload {
-            let stamped: StampedCommand = postcard::from_bytes(bytes).expect("our own encoding");
+            let stamped: TimestampedCommand =
+                postcard::from_bytes(bytes).expect("our own encoding");
             let before = member.catalog.view().revision;
             reply = Some(member.catalog.apply(&stamped));
             assert!(member.catalog.view().revision >= before, "a revision went back");
--- a/tests/all/catalog_model.rs
+++ b/tests/all/catalog_model.rs
@@ -3,7 +3,7 @@
 
 use egretseam_catalog::{
     CatalogCommand, CatalogReply, CatalogState, ConfigEdit, ConfigUpdate, ConfigView, EditRequest,
-    LogTime, ProfileSpec, StampedCommand,
+    LogTime, ProfileSpec, TimestampedCommand,
 };
 use egretseam_proto::{
     ContentDigest, GroupName, ModelName, OperationId, ProfileName, Revision, ServiceName,
@@ -133,7 +133,7 @@
 
     fn send(&mut self, request: &EditRequest) -> CatalogReply {
         let command = CatalogCommand::Edit(request.clone());
-        self.catalog.apply(&StampedCommand { at: LogTime(0), command })
+        self.catalog.apply(&TimestampedCommand { at: LogTime(0), command })
     }
 
     fn edit(&mut self, base: Revision, stale: bool, edit: ConfigEdit) {
@@ -251,7 +251,7 @@
         let command =
             CatalogCommand::NoteContent { model: model.clone(), version, digest: content(version) };
         for at in [LogTime(0), LogTime(1)] {
-            catalog.apply(&StampedCommand { at, command: command.clone() });
+            catalog.apply(&TimestampedCommand { at, command: command.clone() });
         }
     }
     let restored = CatalogState::decode(&catalog.encode()).expect("a snapshot");
--- a/tests/all/scenarios/group_script.rs
+++ b/tests/all/scenarios/group_script.rs
@@ -3,7 +3,7 @@
 use super::{number, number_or, text};
 use egretseam_catalog::{
     CatalogCommand, ClaimRequest, ConfigEdit, EditRequest, ProfileSpec, RebindProof, RebindRequest,
-    SwitchOutcome, SwitchRequest, TargetRun, WeightsSpec,
+    SwitchOutcome, SwitchRequest, TargetIncarnation, WeightsSpec,
 };
 use egretseam_proto::{
     ChunkDigest, FencingNumber, GroupName, Incarnation, InstanceName, ManifestId, ModelName,
@@ -263,10 +263,10 @@
     ReplicaConfig { election_timeout: Duration::from_millis(800), ..ReplicaConfig::default() }
 }
 
-fn run_of(command: &Command, name: &str) -> Result<TargetRun, Box<dyn Error>> {
+fn run_of(command: &Command, name: &str) -> Result<TargetIncarnation, Box<dyn Error>> {
     let text = text(command, name)?;
     let (target, run) = text.split_once('#').ok_or("expected TARGET#RUN")?;
-    Ok(TargetRun {
+    Ok(TargetIncarnation {
         target: InstanceName::try_from(target)?,
         incarnation: Incarnation(run.parse()?),
     })
--- a/tests/all/serving_documents.rs
+++ b/tests/all/serving_documents.rs
@@ -2,7 +2,7 @@
 
 use crate::serving_config::{check, config};
 use egretseam_catalog::{
-    CatalogCommand, CatalogReply, CatalogState, LogTime, ServingChange, StampedCommand,
+    CatalogCommand, CatalogReply, CatalogState, LogTime, ServingChange, TimestampedCommand,
 };
 use egretseam_delta::{DocumentHistory, PackedDocument, UnpackError};
 use egretseam_serving::{ConfigApplyError, ConfigHolder, ConfigRequest, ServingConfig};
@@ -30,8 +30,8 @@
     config(version, Value::Array((0..routes).map(route).collect()))
 }
 
-fn stamped(change: ServingChange) -> StampedCommand {
-    StampedCommand { at: LogTime(0), command: CatalogCommand::ReplaceServing(change) }
+fn stamped(change: ServingChange) -> TimestampedCommand {
+    TimestampedCommand { at: LogTime(0), command: CatalogCommand::ReplaceServing(change) }
 }
 
 fn encoded(config: &ServingConfig) -> Vec<u8> {
