--- a/crates/agent/src/reporter.rs
+++ b/crates/agent/src/reporter.rs
@@ -108,7 +108,7 @@
     peers_seen: u64,
 ) -> u64 {
     let mut view = (**shared.view.borrow()).clone();
-    if view.update(reply.update) {
+    if view.apply_update(reply.update) {
         let revision = view.revision;
         *shared.view.borrow_mut() = Rc::new(view);
         shared.revision.send_replace(revision);
--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -272,7 +272,7 @@
         };
         let Ok(WatchReply::Confirmed { update, .. }) = client.watch(call).await else { continue };
         let before = view.revision.0;
-        view.update(update);
+        view.apply_update(update);
         let now = Instant::now();
         held.borrow_mut().extend((before + 1..=view.revision.0).map(|seen| (seen, now)));
     }
--- a/crates/catalog/src/config_view.rs
+++ b/crates/catalog/src/config_view.rs
@@ -75,7 +75,7 @@
 
 impl ConfigView {
     /// Applies one change that makes `revision`.
-    pub fn apply(&mut self, revision: Revision, change: ConfigChange) {
+    pub fn apply_change(&mut self, revision: Revision, change: ConfigChange) {
         self.revision = revision;
         match change {
             ConfigChange::Profile(name, record) => set(&mut self.profiles, name, record),
@@ -90,14 +90,14 @@
     /// Failure guarded: a late or duplicated update would take a holder back to a configuration
     /// that operators have replaced. It shows as a profile that reverts for seconds. Changes at or
     /// below the held revision are skipped, so the revision only grows.
-    pub fn update(&mut self, update: ConfigUpdate) -> bool {
+    pub fn apply_update(&mut self, update: ConfigUpdate) -> bool {
         let before = self.revision;
         match update {
             ConfigUpdate::Current => {}
             ConfigUpdate::Changes(changes) => {
                 for (revision, change) in changes {
                     if revision > self.revision {
-                        self.apply(revision, change);
+                        self.apply_change(revision, change);
                     }
                 }
             }
--- a/crates/catalog/src/serving.rs
+++ b/crates/catalog/src/serving.rs
@@ -26,12 +26,12 @@
 
 impl ServingChange {
     /// A change that any member can apply.
-    pub fn whole(version: u64, content: &[u8]) -> Self {
+    pub fn full(version: u64, content: &[u8]) -> Self {
         Self { version, content: PackedDocument::whole(content) }
     }
 
     /// A change for members that hold `base`.
-    pub fn since(base: &ServingDocument, version: u64, content: &[u8]) -> Self {
+    pub fn delta_from(base: &ServingDocument, version: u64, content: &[u8]) -> Self {
         Self { version, content: PackedDocument::difference(content, &base.content) }
     }
 
--- a/crates/catalog/src/state.rs
+++ b/crates/catalog/src/state.rs
@@ -75,7 +75,8 @@
     rollouts: IndexMap<ProfileName, RolloutProgress>,
     claims: IndexMap<ClaimId, ClaimRecord>,
     serving: Option<ServingDocument>,
-    named_versions: IndexMap<ModelName, u64>,
+    #[serde(rename = "named_versions")]
+    published_versions: IndexMap<ModelName, u64>,
     contents: ContentTable,
     /// Derived: recent changes, for holders a little behind. A member that restored a snapshot has
     /// none and sends the whole view instead.
@@ -131,7 +132,7 @@
     }
 
     /// Grants in force or not yet cleared away.
-    pub fn switches(&self) -> &IndexMap<InstanceName, SwitchGrant> {
+    pub fn switch_grants(&self) -> &IndexMap<InstanceName, SwitchGrant> {
         &self.switches
     }
 
@@ -183,8 +184,8 @@
     }
 
     /// The newest named version of each model.
-    pub fn named_versions(&self) -> &IndexMap<ModelName, u64> {
-        &self.named_versions
+    pub fn published_versions(&self) -> &IndexMap<ModelName, u64> {
+        &self.published_versions
     }
 
     /// The version of a model that is made of this, if it was noted.
@@ -214,7 +215,7 @@
     }
 
     fn name_version(&mut self, model: &ModelName, version: u64) -> CatalogReply {
-        let newest = self.named_versions.entry(model.clone()).or_default();
+        let newest = self.published_versions.entry(model.clone()).or_default();
         *newest = version.max(*newest);
         CatalogReply::Done
     }
@@ -240,7 +241,7 @@
 
     fn commit_change(&mut self, change: ConfigChange) -> Revision {
         let revision = self.next_revision();
-        self.view.apply(revision, change.clone());
+        self.view.apply_change(revision, change.clone());
         self.changes.push_back((revision, change));
         if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
--- a/crates/catalog/src/state/switches.rs
+++ b/crates/catalog/src/state/switches.rs
@@ -123,7 +123,7 @@
     }
 
     /// Whether a grant for `target` is in force at `time`.
-    pub fn holds_switch(&self, target: &InstanceName, time: LogTime) -> bool {
+    pub fn has_switch_grant(&self, target: &InstanceName, time: LogTime) -> bool {
         self.switches.get(target).is_some_and(|record| record.until > time)
     }
 }
--- a/crates/entry/src/config_keeper.rs
+++ b/crates/entry/src/config_keeper.rs
@@ -30,7 +30,7 @@
             Ok(WatchReply::Confirmed { update, clock }) => {
                 shared.clock.set(shared.clock.get().max(clock));
                 let mut view = (**shared.view.borrow()).clone();
-                if view.update(update) {
+                if view.apply_update(update) {
                     let revision = view.revision;
                     *shared.view.borrow_mut() = Rc::new(view);
                     shared.counters.revision.set(revision.0 as i64);
--- a/crates/registrar/src/front.rs
+++ b/crates/registrar/src/front.rs
@@ -194,7 +194,7 @@
     let until = Instant::now() + COMMIT_LIMIT;
     let difference = {
         let state = shared.control.state();
-        state.serving().map(|held| ServingChange::since(held, version, content))
+        state.serving().map(|held| ServingChange::delta_from(held, version, content))
     };
     if let Some(change) = difference {
         let bytes = change.content.size();
@@ -210,7 +210,7 @@
             outcome => return acknowledge(shared, outcome),
         }
     }
-    let change = ServingChange::whole(version, content);
+    let change = ServingChange::full(version, content);
     let left = until.saturating_duration_since(Instant::now());
     acknowledge(shared, try_submit(shared, CatalogCommand::ReplaceServing(change), left).await)
 }
--- a/crates/registrar/src/publish.rs
+++ b/crates/registrar/src/publish.rs
@@ -69,7 +69,7 @@
     {
         let state = shared.control.state();
         let mut versions = shared.versions.borrow_mut();
-        for (model, version) in state.named_versions() {
+        for (model, version) in state.published_versions() {
             let known = versions.get(model).map(|(version, _)| *version);
             if known != Some(*version) {
                 versions.insert(model.clone(), (*version, now));
--- a/tests/all/catalog_model.rs
+++ b/tests/all/catalog_model.rs
@@ -212,7 +212,7 @@
         let mut holder = test.holder.clone();
         let update = test.catalog.update_since(holder.revision);
         assert!(update != ConfigUpdate::Current || holder.revision == view.revision);
-        holder.update(update);
+        holder.apply_update(update);
         assert_eq!(holder.revision, view.revision);
         // IndexMap compares without regard to order, as the configuration means it.
         assert_eq!(&holder, view);
--- a/tests/all/serving_documents.rs
+++ b/tests/all/serving_documents.rs
@@ -85,14 +85,14 @@
     let mut state = CatalogState::new();
     let [first, second, third] =
         [1, 2, 3].map(|version| long_config(version, 30, version * 100).to_string());
-    state.apply(&stamped(ServingChange::whole(1, first.as_bytes())));
+    state.apply(&stamped(ServingChange::full(1, first.as_bytes())));
     let base = state.serving().expect("accepted").clone();
-    let early = ServingChange::since(&base, 2, second.as_bytes());
-    let late = ServingChange::since(&base, 3, third.as_bytes());
+    let early = ServingChange::delta_from(&base, 2, second.as_bytes());
+    let late = ServingChange::delta_from(&base, 3, third.as_bytes());
     assert_eq!(state.apply(&stamped(early.clone())), CatalogReply::Done);
     assert_eq!(state.apply(&stamped(late)), CatalogReply::OtherBase);
     assert_eq!(state.serving().expect("kept").content, second.as_bytes());
-    let whole = ServingChange::whole(3, third.as_bytes());
+    let whole = ServingChange::full(3, third.as_bytes());
     assert_eq!(state.apply(&stamped(whole)), CatalogReply::Done);
     assert_eq!(state.serving().expect("accepted").content, third.as_bytes());
     assert_eq!(state.apply(&stamped(early)), CatalogReply::Done, "overtaken, and sent again");
@@ -111,8 +111,8 @@
         // Blanks and an odd end stand for what an operator's own editor leaves.
         text = format!("{:#} \r\n", long_config(version, ROUTES, 1_000 + version));
         let change = match state.serving() {
-            Some(held) => ServingChange::since(held, version, text.as_bytes()),
-            None => ServingChange::whole(version, text.as_bytes()),
+            Some(held) => ServingChange::delta_from(held, version, text.as_bytes()),
+            None => ServingChange::full(version, text.as_bytes()),
         };
         let command = stamped(change);
         log_bytes += postcard::to_stdvec(&command).expect("in memory").len();
