--- a/crates/catalog/src/claim.rs
+++ b/crates/catalog/src/claim.rs
@@ -1,87 +1,88 @@
-//! Claims of requests that must not be repeated.
+//! Claims of idempotency keys, for requests that must run at most once.
 //!
-//! A claim binds a key to one run of one agent before the request is sent. Every resend, through
-//! any entry, finds the claim and goes to that same agent run, which is the one place that decides
-//! whether the key has run. So the key runs at most once: a second agent never sees it, and the
-//! claimed agent answers a second arrival with what it kept.
+//! A claim binds a key to one incarnation of one agent before the request is sent. Every retry,
+//! through any entry, finds the claim and goes to that same incarnation, which alone decides
+//! whether the request has run. So the request runs at most once: no second agent receives it, and
+//! the claimed agent answers a retry with the result that it stored.
 
 use crate::LogTime;
 use egretseam_proto::{ChunkDigest, Incarnation, InstanceName, OrganisationName, RequestKey};
 use serde::{Deserialize, Serialize};
 
-/// One run of the agent beside one target.
+/// One incarnation of the agent beside one target.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetIncarnation {
     /// The target.
     pub target: InstanceName,
-    /// The agent's run.
+    /// Incarnation of its agent.
     pub incarnation: Incarnation,
 }
 
-/// Asks for a key to be bound.
+/// Binds a key to an incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// Owner of the key.
     pub organisation: OrganisationName,
     /// The caller's key.
     pub key: RequestKey,
-    /// Digest of method, path and body; the same key with another digest is refused.
+    /// Digest of method, path and body; the same key with another digest is rejected.
     pub digest: ChunkDigest,
-    /// Where the request is to go.
+    /// Incarnation that the request is to be sent to.
     pub run: TargetIncarnation,
 }
 
-/// Why it is certain that the run a key is bound to has not run it and will not.
+/// Proof that the incarnation a key is bound to has not run the request and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RebindProof {
-    /// That run refused the key and remembers that it did.
+    /// The incarnation rejected the key and remembers the rejection.
     RefusedByRun,
-    /// The entry that bound the key could not connect, so it sent nothing. This counts only while
-    /// no other claim of the key has been answered: another entry would have been sent there too.
+    /// The entry that bound the key could not connect, so it sent nothing. Valid only while no
+    /// other claim of the key has been answered: such a claim directs another entry to the same
+    /// incarnation, and that entry may have sent the request.
     NeverSent,
 }
 
-/// Moves a claim to another run.
+/// Moves a claim to another incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RebindRequest {
     /// Owner of the key.
     pub organisation: OrganisationName,
     /// The caller's key.
     pub key: RequestKey,
-    /// The run that the key is bound to.
+    /// The incarnation that the key is bound to.
     pub from: TargetIncarnation,
-    /// The run to bind instead.
+    /// The incarnation to bind it to instead.
     pub to: TargetIncarnation,
-    /// Why that is safe.
+    /// Proof that the move cannot make the request run twice.
     pub proof: RebindProof,
 }
 
-/// A key in use.
+/// The claim of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// Digest of the request.
     pub digest: ChunkDigest,
-    /// The run that the key is bound to.
+    /// The incarnation that the key is bound to.
     pub run: TargetIncarnation,
-    /// When it was first claimed.
+    /// When the key was first claimed.
     pub at: LogTime,
-    /// How many later claims were told where the key is bound.
+    /// Number of later claims that were answered with the existing binding.
     pub lookups: u32,
 }
 
-/// What became of a claim or rebinding.
+/// Outcome of a claim or a rebinding.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// The key is now bound as asked.
+    /// The key is now bound to the requested incarnation.
     Bound,
-    /// The key was bound before; the request belongs to this run.
+    /// The key was already bound; the request belongs to this incarnation.
     Existing(TargetIncarnation),
-    /// The key belongs to a different request.
+    /// The key was claimed for a request with another digest.
     DigestMismatch,
-    /// The table is full; the request was not run.
+    /// The claim table is full; the key was not bound and the request was not run.
     Full,
-    /// No such claim to rebind.
+    /// The key to rebind has no claim.
     Unknown,
-    /// The proof no longer holds: somebody else may have sent the request.
+    /// The proof no longer holds: another entry may have sent the request.
     NotProven,
 }
--- a/crates/catalog/src/command.rs
+++ b/crates/catalog/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands that go through the log, and their replies.
+//! Commands in the replicated log, and their replies.
 
 use crate::{
     LogTime,
@@ -14,11 +14,11 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// An operator's change.
+/// An operator's edit of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ConfigEdit {
-    /// Defines a profile that does not exist.
+    /// Defines a new profile.
     DefineProfile {
         /// Name.
         name: ProfileName,
@@ -32,7 +32,7 @@
         /// Specification.
         spec: ProfileSpec,
     },
-    /// Lifts a halt, so that the rollout of the same revision goes on.
+    /// Lifts a halt: the same specification is rolled out under a new revision.
     ResumeProfile {
         /// Name.
         name: ProfileName,
@@ -42,7 +42,7 @@
         /// Name.
         name: ProfileName,
     },
-    /// Sets the profile that a service runs under.
+    /// Binds a service to a profile.
     BindService {
         /// Service.
         name: ServiceName,
@@ -54,7 +54,7 @@
         /// Service.
         name: ServiceName,
     },
-    /// Sets an organisation.
+    /// Defines an organisation or replaces its specification.
     SetOrganisation {
         /// Organisation.
         name: OrganisationName,
@@ -68,112 +68,112 @@
     },
 }
 
-/// An operator's change with what makes it safe to race and to resend.
+/// An operator's edit, with what makes concurrent edits and retries safe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EditRequest {
-    /// Drawn once per change; a resend carries the same.
+    /// Unique to this edit; a retry carries the same ID.
     pub operation: OperationId,
-    /// Revision of the thing changed that the operator saw; 0 for something new.
+    /// Revision of the edited object that the operator saw; 0 if the object is new.
     pub base: Revision,
-    /// Who asks, for the history.
+    /// Who requests the edit, for the history.
     pub actor: String,
-    /// The change.
+    /// The edit.
     pub edit: ConfigEdit,
 }
 
 /// A command of the catalog.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogCommand {
-    /// An operator's change.
+    /// An operator's edit.
     Edit(EditRequest),
-    /// An entry announces itself, or that it is leaving.
+    /// Adds or updates the record of an entry, which may announce that it is leaving.
     AnnounceEntry(EntryRecord),
-    /// A silent entry is removed, if it is still the same run.
+    /// Removes an entry that went silent, unless it has restarted since.
     ExpireEntry {
         /// The entry.
         name: InstanceName,
-        /// Its run.
+        /// Incarnation that went silent.
         incarnation: Incarnation,
     },
-    /// An agent asks to order its engine.
+    /// An agent requests a grant to order its engine to load.
     BeginSwitch(SwitchRequest),
-    /// An agent reports how the order ended.
+    /// An agent reports the outcome of a switch.
     EndSwitch {
         /// The target.
         target: InstanceName,
-        /// The grant's number.
+        /// Fencing number of the grant.
         fence: FencingNumber,
         /// Outcome.
         outcome: SwitchOutcome,
     },
-    /// A batch of claims.
+    /// Claims a batch of keys.
     Claim(Vec<ClaimRequest>),
-    /// Moves a claim.
+    /// Moves a claim to another incarnation.
     Rebind(RebindRequest),
-    /// Replaces the serving configuration, if its version is higher than the one in force. A lower
-    /// one is accepted and changes nothing, so that it may be sent again and arrive late.
+    /// Replaces the serving configuration, if its version is higher than the one in force. Any
+    /// other version is accepted and changes nothing, so that retries and late arrivals succeed.
     ReplaceServing(ServingChange),
-    /// Names a version of a model's weights; the highest is wanted.
+    /// Publishes a version of a model's weights; engines are to load the highest.
     NameVersion {
         /// The model.
         model: ModelName,
         /// The version.
         version: u64,
     },
-    /// Notes what a version of a model's weights is made of.
+    /// Records the content digest of a version of a model's weights.
     NoteContent {
         /// The model.
         model: ModelName,
         /// The version.
         version: u64,
-        /// Over all its chunks.
+        /// Digest over all chunks of the version.
         digest: ContentDigest,
     },
 }
 
-/// A command with the log's clock at its proposal.
+/// A command with the time of its proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimestampedCommand {
-    /// Never below an earlier command's.
+    /// Time on the log's clock, never lower than that of an earlier command.
     pub at: LogTime,
-    /// Command.
+    /// The command.
     pub command: CatalogCommand,
 }
 
-/// Why an edit was refused for good.
+/// Why an edit was permanently rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditRejection {
-    /// For a person.
+    /// Explanation for the operator.
     pub message: String,
-    /// Whether the thing to be changed does not exist.
+    /// Whether an object that the edit requires does not exist.
     pub missing: bool,
 }
 
 /// The reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogReply {
-    /// The change is accepted at this revision.
+    /// The edit is accepted.
     Accepted {
-        /// Revision.
+        /// Revision that the edit made.
         revision: Revision,
     },
-    /// Someone else changed the thing first.
+    /// The edited object is not at the base revision.
     Conflict {
-        /// Its present revision; 0 if it does not exist.
+        /// Its current revision; 0 if it does not exist.
         current: Revision,
     },
-    /// The change breaks a rule.
+    /// The edit breaks a rule.
     Refused(EditRejection),
-    /// An order may be given.
+    /// The agent may order its engine to load.
     SwitchGranted(SwitchGrant),
-    /// An order must wait or is refused.
+    /// The agent must not order its engine, for this reason.
     SwitchDenied(SwitchDenial),
-    /// What became of each claim, in order.
+    /// Outcome of each claim, in the order of the requests.
     Claims(Vec<ClaimOutcome>),
-    /// Done, or nothing to do.
+    /// The command was applied, or there was nothing to change.
     Done,
-    /// Nothing was changed: the serving configuration was sent as the difference from one that is
-    /// not in force.
+    /// Nothing was changed: the serving configuration was sent as the delta from one that is not
+    /// in force.
     OtherBase,
 }
--- a/crates/catalog/src/config_view.rs
+++ b/crates/catalog/src/config_view.rs
@@ -1,4 +1,4 @@
-//! The configuration that entries and agents work by, and how they keep it current.
+//! The configuration that entries and agents follow, and the updates that keep it current.
 
 use crate::spec::{OrganisationRecord, ProfileRecord};
 use egretseam_proto::{
@@ -8,53 +8,53 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Which profile a service runs under.
+/// The profile that a service runs under.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceBinding {
     /// The profile.
     pub profile: ProfileName,
-    /// Revision of the change that set it.
+    /// Revision of the edit that bound it.
     pub revision: Revision,
 }
 
-/// An entry instance as it announced itself.
+/// What an entry announced about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRecord {
     /// Name.
     pub name: InstanceName,
-    /// Run of the process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
     /// Availability zone.
     pub zone: ZoneName,
-    /// `host:port` for callers.
+    /// `host:port` that callers connect to.
     pub caller_address: String,
-    /// `host:port` for agents.
+    /// `host:port` that agents connect to.
     pub peer_address: String,
-    /// Whether it is stopping and callers should go elsewhere.
+    /// Whether it is stopping, so that callers should use another entry.
     pub leaving: bool,
 }
 
-/// One change of the view. `None` means removed.
+/// One change of a [`ConfigView`]. `None` removes the object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigChange {
     /// A profile.
     Profile(ProfileName, Option<ProfileRecord>),
-    /// A service's choice.
+    /// The binding of a service.
     Service(ServiceName, Option<ServiceBinding>),
     /// An organisation.
     Organisation(OrganisationName, Option<OrganisationRecord>),
-    /// An entry instance.
+    /// An entry.
     Entry(InstanceName, Option<EntryRecord>),
 }
 
-/// What brings a view from the holder's revision to the current one.
+/// Brings the view of an entry or agent to the current revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigUpdate {
-    /// Nothing changed.
+    /// The view is at the current revision.
     Current,
-    /// The changes, each with the revision it makes.
+    /// The changes since the view's revision, each with the revision that it makes.
     Changes(Vec<(Revision, ConfigChange)>),
-    /// The whole, because the holder is too far behind or holds nothing.
+    /// The complete view, because the held one is too old or there is none.
     Whole(Box<ConfigView>),
 }
 
@@ -63,33 +63,38 @@
 pub struct ConfigView {
     /// Revision.
     pub revision: Revision,
-    /// Live profiles.
+    /// Profiles, without retired ones.
     pub profiles: IndexMap<ProfileName, ProfileRecord>,
-    /// Services' choices.
+    /// Bindings of services.
     pub services: IndexMap<ServiceName, ServiceBinding>,
     /// Organisations.
     pub organisations: IndexMap<OrganisationName, OrganisationRecord>,
-    /// Entry instances.
+    /// Entries.
     pub entries: IndexMap<InstanceName, EntryRecord>,
 }
 
 impl ConfigView {
-    /// Applies one change that makes `revision`.
+    /// Applies one change, which makes `revision`.
     pub fn apply_change(&mut self, revision: Revision, change: ConfigChange) {
         self.revision = revision;
         match change {
-            ConfigChange::Profile(name, record) => set(&mut self.profiles, name, record),
-            ConfigChange::Service(name, record) => set(&mut self.services, name, record),
-            ConfigChange::Organisation(name, record) => set(&mut self.organisations, name, record),
-            ConfigChange::Entry(name, record) => set(&mut self.entries, name, record),
+            ConfigChange::Profile(name, record) => {
+                insert_or_remove(&mut self.profiles, name, record)
+            }
+            ConfigChange::Service(name, record) => {
+                insert_or_remove(&mut self.services, name, record)
+            }
+            ConfigChange::Organisation(name, record) => {
+                insert_or_remove(&mut self.organisations, name, record)
+            }
+            ConfigChange::Entry(name, record) => insert_or_remove(&mut self.entries, name, record),
         }
     }
 
-    /// Brings the view forward; returns whether anything changed.
+    /// Applies an update; returns whether the revision grew.
     ///
-    /// Failure guarded: a late or duplicated update would take a holder back to a configuration
-    /// that operators have replaced. It shows as a profile that reverts for seconds. Changes at or
-    /// below the held revision are skipped, so the revision only grows.
+    /// Changes at or below the held revision are skipped. Otherwise a late or duplicated update
+    /// would return the view to a replaced configuration, and a profile would revert for seconds.
     pub fn apply_update(&mut self, update: ConfigUpdate) -> bool {
         let before = self.revision;
         match update {
@@ -110,7 +115,7 @@
         self.revision > before
     }
 
-    /// The live profile that governs `group`, with its name.
+    /// The profile that governs `group`, with its name.
     pub fn profile_of_group(&self, group: &GroupName) -> Option<(&ProfileName, &ProfileRecord)> {
         self.profiles.iter().find(|(_, record)| record.spec.group == *group)
     }
@@ -121,7 +126,11 @@
     }
 }
 
-fn set<K: std::hash::Hash + Eq, V>(table: &mut IndexMap<K, V>, key: K, value: Option<V>) {
+fn insert_or_remove<K: std::hash::Hash + Eq, V>(
+    table: &mut IndexMap<K, V>,
+    key: K,
+    value: Option<V>,
+) {
     match value {
         Some(value) => {
             table.insert(key, value);
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,12 +1,13 @@
-//! The state machine on the replicated log: profiles, services' choices, organisations, entries,
-//! orders to targets, and claims of requests that must not be repeated.
+//! The state machine on the replicated log: profiles, service bindings, organisations, entries,
+//! switch grants, claims of idempotency keys, the serving configuration, and published versions of
+//! weights.
 //!
 //! [`CatalogState::apply`] is deterministic: equal commands in equal order give equal states and
-//! replies on every member. Time reaches it only as [`TimestampedCommand::at`], a clock that leaders
-//! advance by their own monotonic clocks, so a jump of the wall clock expires nothing.
+//! replies on every member. Time reaches it only as [`TimestampedCommand::at`], a clock that
+//! leaders advance by their own monotonic clocks, so a jump of the wall clock expires nothing.
 //!
-//! Entries and agents hold a [`ConfigView`], which is the part of the state that requests are
-//! routed by, and keep it current with [`ConfigUpdate`]s.
+//! Entries and agents hold a [`ConfigView`], the part of the state that determines how requests are
+//! routed, and keep it current with [`ConfigUpdate`]s.
 
 mod claim;
 mod command;
@@ -35,7 +36,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on the log's own clock.
+/// Time on the log's clock in milliseconds. See the crate documentation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/catalog/src/serving.rs
+++ b/crates/catalog/src/serving.rs
@@ -1,10 +1,10 @@
-//! The configuration that operators replace as a whole, and the weight versions that they name.
+//! The serving configuration, which operators replace as one document.
 
 use egretseam_delta::{PackedDocument, UnpackError};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A whole serving configuration as an operator sent it. The catalog keeps its bytes unread, so
-/// that it is given back exactly as it was accepted.
+/// A serving configuration as an operator sent it. The catalog stores its bytes without parsing
+/// them, so that it is returned exactly as it was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServingDocument {
     /// Version; the highest is in force.
@@ -14,31 +14,31 @@
     pub content: Vec<u8>,
 }
 
-/// A serving configuration on its way through the log: mostly the difference from the one that is in
-/// force, so that a change of one route among 1,700 costs every member some hundred bytes.
+/// A serving configuration in the log, usually as the delta from the one in force, so that a change
+/// of one route among 1,700 costs every member about a hundred bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServingChange {
     /// Version; the highest is in force.
     pub version: u64,
-    /// Content.
+    /// Compressed content: the full document, or a delta.
     pub content: PackedDocument,
 }
 
 impl ServingChange {
-    /// A change that any member can apply.
+    /// A change with the full document, which any member can apply.
     pub fn full(version: u64, content: &[u8]) -> Self {
         Self { version, content: PackedDocument::whole(content) }
     }
 
-    /// A change for members that hold `base`.
+    /// A change with the delta from `base`, for members that hold `base`.
     pub fn delta_from(base: &ServingDocument, version: u64, content: &[u8]) -> Self {
         Self { version, content: PackedDocument::difference(content, &base.content) }
     }
 
-    /// The document that it makes of `held`.
+    /// The document that results from applying the change to `held`.
     ///
     /// # Errors
-    /// Fails if it is a difference from another document.
+    /// Fails if the content is a delta from another document, or cannot be unpacked.
     pub(crate) fn apply_to(
         &self,
         held: Option<&ServingDocument>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Content as it stands in snapshots.
+/// Serializes content compressed, for snapshots.
 mod packed_content {
     use super::{Deserialize, Deserializer, PackedDocument, Serialize, Serializer, de};
 
--- a/crates/catalog/src/spec.rs
+++ b/crates/catalog/src/spec.rs
@@ -1,40 +1,38 @@
-//! What operators state about profiles and organisations.
+//! Specifications of profiles and organisations.
 
 use egretseam_proto::{ChunkDigest, GroupName, ManifestId, ModelName, Revision, VersionName};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Most adapters that one profile may name.
 const MAX_ADAPTERS: usize = 64;
-/// Most copies that a profile may fetch from the origin.
 const MAX_ORIGIN_COPIES: u32 = 4;
-/// Highest weight of an organisation's share.
+/// Largest weight of an organisation's share of capacity.
 const MAX_WEIGHT: u32 = 1_000;
 
 /// A specification that breaks a rule.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SpecError {
-    /// Nothing could ever be switched.
+    /// No target could ever be switched.
     #[error("max_unavailable must be at least 1")]
-    NoneUnavailable,
-    /// Out of range.
+    ZeroMaxUnavailable,
+    /// `origin_copies` is out of range.
     #[error("origin_copies must be 1 to {MAX_ORIGIN_COPIES}")]
-    OriginCopies,
-    /// Too many.
+    OriginCopiesOutOfRange,
+    /// The profile lists too many adapters.
     #[error("at most {MAX_ADAPTERS} adapters")]
     TooManyAdapters,
-    /// Adapters extend a model.
+    /// The profile lists adapters but no weights that they extend.
     #[error("adapters need weights to extend")]
     AdaptersWithoutWeights,
-    /// Zero.
+    /// No request could ever be sent to a target.
     #[error("max_in_flight must be at least 1")]
-    NoneInFlight,
-    /// Out of range.
+    ZeroMaxInFlight,
+    /// `weight` is out of range.
     #[error("weight must be 1 to {MAX_WEIGHT}")]
-    Weight,
-    /// An organisation nobody could use.
+    WeightOutOfRange,
+    /// No caller could authenticate for the organisation.
     #[error("at least one key digest is needed")]
-    NoKeys,
+    NoKeyDigests,
 }
 
 /// One version of a model or adapter, pinned by its manifest.
@@ -45,7 +43,7 @@
     pub model: ModelName,
     /// Version at the origin.
     pub version: VersionName,
-    /// Identity of exactly these bytes. A version that changes at the origin has another.
+    /// Identifies exactly these bytes: a version that changes at the origin gets another ID.
     pub manifest: ManifestId,
 }
 
@@ -53,26 +51,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProfileSpec {
-    /// The targets governed by this profile.
+    /// Group of targets governed by this profile.
     pub group: GroupName,
-    /// Weights to hold; none for a plain service.
+    /// Weights to load; `None` for a service without weights.
     #[serde(default)]
     pub weights: Option<WeightsSpec>,
-    /// Adapters to hold beside the weights.
+    /// Adapters to load with the weights.
     #[serde(default)]
     pub adapters: Vec<WeightsSpec>,
-    /// Most targets out of service at once for a switch.
+    /// Maximum targets out of service at once for a switch.
     #[serde(default = "one")]
     pub max_unavailable: u32,
-    /// Copies that may be fetched from the origin: 1 is most frugal, 4 is fastest.
+    /// Copies that may be fetched from the origin: 1 fetches the least, 4 is fastest.
     #[serde(default = "one")]
     pub origin_copies: u32,
-    /// Most requests in progress at one target.
+    /// Maximum requests in flight per target.
     #[serde(default = "default_in_flight")]
     pub max_in_flight: u32,
-    /// Whether entries go on routing by an unconfirmed configuration while every control member
-    /// is out of reach. Off, the promise holds that an accepted change is in force everywhere
-    /// within the lease; on, answers continue and the promise waits.
+    /// Whether entries keep routing by an unconfirmed configuration while every control member is
+    /// unreachable. If false, an accepted change is in force everywhere within the lease. If true,
+    /// requests are still served, but that guarantee is suspended.
     #[serde(default)]
     pub serve_without_lease: bool,
 }
@@ -86,16 +84,16 @@
 }
 
 impl ProfileSpec {
-    /// Checks the rules that types alone do not express.
+    /// Checks the rules that the types do not express.
     ///
     /// # Errors
-    /// Returns the first rule broken.
-    pub fn check(&self) -> Result<(), SpecError> {
+    /// Returns the first broken rule.
+    pub fn validate(&self) -> Result<(), SpecError> {
         if self.max_unavailable == 0 {
-            return Err(SpecError::NoneUnavailable);
+            return Err(SpecError::ZeroMaxUnavailable);
         }
         if !(1..=MAX_ORIGIN_COPIES).contains(&self.origin_copies) {
-            return Err(SpecError::OriginCopies);
+            return Err(SpecError::OriginCopiesOutOfRange);
         }
         if self.adapters.len() > MAX_ADAPTERS {
             return Err(SpecError::TooManyAdapters);
@@ -104,28 +102,29 @@
             return Err(SpecError::AdaptersWithoutWeights);
         }
         if self.max_in_flight == 0 {
-            return Err(SpecError::NoneInFlight);
+            return Err(SpecError::ZeroMaxInFlight);
         }
         Ok(())
     }
 }
 
-/// A profile as accepted.
+/// An accepted profile.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProfileRecord {
     /// Specification.
     pub spec: ProfileSpec,
-    /// Revision of the change that set the specification.
+    /// Revision of the edit that set the specification or lifted a halt.
     pub revision: Revision,
-    /// Why the rollout of this revision stopped, if it did. Targets that serve keep their version.
+    /// Why the rollout of this revision was halted, if it was. Targets in service keep their
+    /// version.
     pub halted: Option<String>,
 }
 
-/// An organisation's share and keys.
+/// An organisation's share of capacity and its API keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationSpec {
-    /// Share of capacity relative to other organisations.
+    /// Weight of its share of capacity, relative to other organisations.
     #[serde(default = "one")]
     pub weight: u32,
     /// BLAKE3 digests of its API keys; the keys themselves are never stored.
@@ -133,26 +132,26 @@
 }
 
 impl OrganisationSpec {
-    /// Checks the rules that types alone do not express.
+    /// Checks the rules that the types do not express.
     ///
     /// # Errors
-    /// Returns the first rule broken.
-    pub fn check(&self) -> Result<(), SpecError> {
+    /// Returns the first broken rule.
+    pub fn validate(&self) -> Result<(), SpecError> {
         if !(1..=MAX_WEIGHT).contains(&self.weight) {
-            return Err(SpecError::Weight);
+            return Err(SpecError::WeightOutOfRange);
         }
         if self.key_digests.is_empty() {
-            return Err(SpecError::NoKeys);
+            return Err(SpecError::NoKeyDigests);
         }
         Ok(())
     }
 }
 
-/// An organisation as accepted.
+/// An accepted organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrganisationRecord {
     /// Specification.
     pub spec: OrganisationSpec,
-    /// Revision of the change that set it.
+    /// Revision of the edit that set the specification.
     pub revision: Revision,
 }
--- a/crates/catalog/src/state.rs
+++ b/crates/catalog/src/state.rs
@@ -25,17 +25,16 @@
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// How many operations' replies are remembered for resends. At 11,000 changes a day this is more
-/// than a day and a half.
+/// Replies kept for retried edits. At 11,000 edits a day they cover more than a day and a half.
 const MAX_OPERATIONS: usize = 20_000;
-/// How many changes are kept for holders that are a little behind.
-const MAX_CHANGES: usize = 2_048;
-/// How many changes of one profile its history shows.
-const MAX_HISTORY: usize = 64;
+/// Changes kept to update views that are slightly behind.
+const MAX_RECENT_CHANGES: usize = 2_048;
+/// Records kept in the history of one profile.
+const MAX_HISTORY_RECORDS: usize = 64;
 
-/// A snapshot that could not be read.
+/// A snapshot that cannot be decoded.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("the snapshot is not a catalog: {0}")]
+#[error("invalid catalog snapshot: {0}")]
 pub struct DecodeError(String);
 
 /// One accepted change of a profile.
@@ -43,27 +42,27 @@
 pub struct HistoryRecord {
     /// Revision that the change made.
     pub revision: Revision,
-    /// Who asked.
+    /// Who requested it.
     pub actor: String,
-    /// Specification from then on; `None` when retired.
+    /// Specification that the change set; `None` if it retired the profile.
     pub spec: Option<ProfileSpec>,
 }
 
-/// A key and its owner.
+/// A key and the organisation that owns it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct ClaimId {
     organisation: OrganisationName,
     key: RequestKey,
 }
 
-/// How far the rollout of one profile revision is.
+/// Progress of the rollout of one profile revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct RolloutProgress {
     revision: Revision,
     loaded: u32,
 }
 
-/// Everything that must survive. See the crate's text.
+/// The replicated state, which must survive restarts. See the crate documentation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogState {
     clock: LogTime,
@@ -78,22 +77,22 @@
     #[serde(rename = "named_versions")]
     published_versions: IndexMap<ModelName, u64>,
     contents: ContentTable,
-    /// Derived: recent changes, for holders a little behind. A member that restored a snapshot has
-    /// none and sends the whole view instead.
+    /// Recent changes, to update views that are slightly behind. Not in snapshots: a member that
+    /// restored one has none and sends the complete view instead.
     #[serde(skip)]
     changes: VecDeque<(Revision, ConfigChange)>,
 }
 
 impl CatalogState {
-    /// An empty state.
+    /// Creates an empty state.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Reads a snapshot made by [`CatalogState::encode`].
+    /// Decodes a snapshot made by [`CatalogState::encode`].
     ///
     /// # Errors
-    /// Fails on bytes that are not a snapshot.
+    /// Fails if `bytes` is not a snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         match postcard::take_from_bytes(bytes) {
             Ok((state, [])) => Ok(state),
@@ -103,7 +102,7 @@
         }
     }
 
-    /// Reads a snapshot of a build that kept no contents: it ends before their table.
+    /// Decodes a snapshot of a release without content digests, which ends before their table.
     fn decode_without_contents(bytes: &[u8]) -> Result<Self, DecodeError> {
         let mut bytes = bytes.to_vec();
         bytes
@@ -111,12 +110,12 @@
         postcard::from_bytes(&bytes).map_err(|error| DecodeError(error.to_string()))
     }
 
-    /// A snapshot of the state.
+    /// Encodes a snapshot of the state.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("in-memory encoding does not fail")
     }
 
-    /// The log's clock.
+    /// Current time on the log's clock.
     pub fn clock(&self) -> LogTime {
         self.clock
     }
@@ -126,22 +125,22 @@
         &self.view
     }
 
-    /// Changes of a profile, oldest first; outlives its retirement.
+    /// Changes of a profile, oldest first; kept after it is retired.
     pub fn history(&self, name: &ProfileName) -> impl Iterator<Item = &HistoryRecord> {
         self.histories.get(name).into_iter().flatten()
     }
 
-    /// Grants in force or not yet cleared away.
+    /// Switch grants by target, including expired ones that are not yet removed.
     pub fn switch_grants(&self) -> &IndexMap<InstanceName, SwitchGrant> {
         &self.switches
     }
 
-    /// How many keys are claimed.
+    /// Number of claims, including expired ones that are not yet removed.
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// What brings a holder at `held` to the present.
+    /// The update that brings a view at revision `held` to the current one.
     pub fn update_since(&self, held: Revision) -> ConfigUpdate {
         if held >= self.view.revision {
             return ConfigUpdate::Current;
@@ -172,34 +171,34 @@
             CatalogCommand::ReplaceServing(change) => self.replace_serving(change),
             CatalogCommand::NameVersion { model, version } => self.name_version(model, *version),
             CatalogCommand::NoteContent { model, version, digest } => {
-                self.contents.note(model, *version, *digest);
+                self.contents.record(model, *version, *digest);
                 CatalogReply::Done
             }
         }
     }
 
-    /// The serving configuration in force, if one was ever accepted.
+    /// The serving configuration in force, if any.
     pub fn serving(&self) -> Option<&ServingDocument> {
         self.serving.as_ref()
     }
 
-    /// The newest named version of each model.
+    /// The highest published version of each model.
     pub fn published_versions(&self) -> &IndexMap<ModelName, u64> {
         &self.published_versions
     }
 
-    /// The version of a model that is made of this, if it was noted.
+    /// The version of a model recorded with this content digest, if any.
     pub fn version_of(&self, model: &ModelName, digest: &ContentDigest) -> Option<u64> {
         self.contents.version_of(model, digest)
     }
 
-    /// Failure guarded: a change that is sent again after its reply was lost, or arrives behind a
-    /// later one, would take the configuration back. Only a higher version changes anything, and
-    /// the first content of a version stays.
+    /// Replaces the serving configuration only by a higher version; the first content of a version
+    /// stays. Otherwise a change that is retried after its reply was lost, or that arrives after a
+    /// later one, would revert the configuration.
     ///
-    /// Failure guarded: two operators change the configuration at once, each against the one that
-    /// it saw. The second change is a difference from a document that is no longer in force; its
-    /// digest shows that at every member alike, nothing is changed, and the sender sends it whole.
+    /// When two operators change the configuration concurrently, the second change is a delta from
+    /// a document that is no longer in force. Every member detects that alike from the digest of
+    /// the base and changes nothing, and the sender then sends the full document.
     fn replace_serving(&mut self, change: &ServingChange) -> CatalogReply {
         let held = self.serving.as_ref();
         if held.is_some_and(|held| change.version <= held.version) {
@@ -215,22 +214,25 @@
     }
 
     fn name_version(&mut self, model: &ModelName, version: u64) -> CatalogReply {
-        let newest = self.published_versions.entry(model.clone()).or_default();
-        *newest = version.max(*newest);
+        let highest = self.published_versions.entry(model.clone()).or_default();
+        *highest = version.max(*highest);
         CatalogReply::Done
     }
 
     fn announce_entry(&mut self, record: &EntryRecord) -> CatalogReply {
         if self.view.entries.get(&record.name) != Some(record) {
-            self.commit_change(ConfigChange::Entry(record.name.clone(), Some(record.clone())));
+            self.apply_config_change(ConfigChange::Entry(
+                record.name.clone(),
+                Some(record.clone()),
+            ));
         }
         CatalogReply::Done
     }
 
     fn expire_entry(&mut self, name: &InstanceName, incarnation: Incarnation) -> CatalogReply {
-        let same = |record: &EntryRecord| record.incarnation == incarnation;
-        if self.view.entries.get(name).is_some_and(same) {
-            self.commit_change(ConfigChange::Entry(name.clone(), None));
+        let is_same_incarnation = |record: &EntryRecord| record.incarnation == incarnation;
+        if self.view.entries.get(name).is_some_and(is_same_incarnation) {
+            self.apply_config_change(ConfigChange::Entry(name.clone(), None));
         }
         CatalogReply::Done
     }
@@ -239,11 +241,11 @@
         Revision(self.view.revision.0 + 1)
     }
 
-    fn commit_change(&mut self, change: ConfigChange) -> Revision {
+    fn apply_config_change(&mut self, change: ConfigChange) -> Revision {
         let revision = self.next_revision();
         self.view.apply_change(revision, change.clone());
         self.changes.push_back((revision, change));
-        if self.changes.len() > MAX_CHANGES {
+        if self.changes.len() > MAX_RECENT_CHANGES {
             self.changes.pop_front();
         }
         revision
--- a/crates/catalog/src/state/claims.rs
+++ b/crates/catalog/src/state/claims.rs
@@ -1,4 +1,4 @@
-//! Binding keys to agent runs.
+//! Binding idempotency keys to agent incarnations.
 
 use super::{CatalogState, ClaimId};
 use crate::{
@@ -7,28 +7,28 @@
     command::CatalogReply,
 };
 
-/// How long a key is remembered after its first claim.
+/// How long a claim is kept after its key was first claimed.
 pub const CLAIM_RETENTION_MILLIS: u64 = 15 * 60 * 1_000;
-/// Most keys remembered; beyond this new ones are refused rather than old ones forgotten.
+/// At this limit new keys are rejected: the request of an evicted claim could run twice.
 const MAX_CLAIMS: usize = 200_000;
 
 impl CatalogState {
     pub(super) fn claim(&mut self, requests: &[ClaimRequest]) -> CatalogReply {
-        self.forget_old_claims();
+        self.evict_expired_claims();
         CatalogReply::Claims(requests.iter().map(|request| self.claim_one(request)).collect())
     }
 
     fn claim_one(&mut self, request: &ClaimRequest) -> ClaimOutcome {
         let id = ClaimId { organisation: request.organisation.clone(), key: request.key.clone() };
         let clock = self.clock;
-        if let Some(record) = self.claims.get_mut(&id).filter(|record| is_fresh(record, clock)) {
+        if let Some(record) = self.claims.get_mut(&id).filter(|record| is_live(record, clock)) {
             if record.digest != request.digest {
                 return ClaimOutcome::DigestMismatch;
             }
             record.lookups += 1;
             return ClaimOutcome::Existing(record.run.clone());
         }
-        // An expired record must not stay in its old place: claims stand in the order of their time.
+        // Claims are ordered by time, and `insert` would leave an expired claim in its position.
         self.claims.shift_remove(&id);
         if self.claims.len() >= MAX_CLAIMS {
             return ClaimOutcome::Full;
@@ -39,8 +39,8 @@
         ClaimOutcome::Bound
     }
 
-    /// Moves a claim only from the run that the caller saw refuse it, so that of two entries that
-    /// both met the refusal, one binds the key anew and the other learns where it went.
+    /// Moves a claim only from the incarnation that the entry tried. If two entries were rejected
+    /// by the same incarnation, one rebinds the key and the other learns the new binding.
     pub(super) fn rebind(&mut self, request: &RebindRequest) -> CatalogReply {
         let id = ClaimId { organisation: request.organisation.clone(), key: request.key.clone() };
         let outcome = match self.claims.get_mut(&id) {
@@ -58,18 +58,18 @@
         CatalogReply::Claims(vec![outcome])
     }
 
-    /// Claims stand in the order of their time, so the old ones are at the front.
-    fn forget_old_claims(&mut self) {
+    /// Evicts expired claims, which are at the front because claims are ordered by time.
+    fn evict_expired_claims(&mut self) {
         let clock = self.clock;
-        let old = self.claims.values().take_while(|record| !is_fresh(record, clock)).count();
-        // Rare and in blocks: draining shifts everything behind.
-        const BLOCK: usize = 1_024;
-        if old >= BLOCK || old == self.claims.len() {
-            self.claims.drain(..old);
+        let expired = self.claims.values().take_while(|record| !is_live(record, clock)).count();
+        // Evicts in batches, because each drain shifts all remaining claims.
+        const MIN_BATCH: usize = 1_024;
+        if expired >= MIN_BATCH || expired == self.claims.len() {
+            self.claims.drain(..expired);
         }
     }
 }
 
-fn is_fresh(record: &ClaimRecord, clock: LogTime) -> bool {
+fn is_live(record: &ClaimRecord, clock: LogTime) -> bool {
     record.at.plus_millis(CLAIM_RETENTION_MILLIS) > clock
 }
--- a/crates/catalog/src/state/edits.rs
+++ b/crates/catalog/src/state/edits.rs
@@ -1,6 +1,6 @@
-//! Operators' changes: races, resends and rules.
+//! Operators' edits: conflicts, retries and rules.
 
-use super::{CatalogState, HistoryRecord, MAX_HISTORY, MAX_OPERATIONS, RolloutProgress};
+use super::{CatalogState, HistoryRecord, MAX_HISTORY_RECORDS, MAX_OPERATIONS, RolloutProgress};
 use crate::{
     command::{CatalogReply, ConfigEdit, EditRejection, EditRequest},
     config_view::{ConfigChange, ServiceBinding},
@@ -9,39 +9,40 @@
 use egretseam_proto::{ProfileName, Revision, ServiceName};
 
 impl CatalogState {
-    /// Failure guarded: an operator whose reply was lost sends the change again, perhaps to another
-    /// member after a leader change. Applied twice, it would conflict with itself or undo what
-    /// another operator did in between. The reply to the first is part of the replicated state, so
-    /// every member gives it again.
+    /// Applies an edit once and answers retries with the first reply.
+    ///
+    /// An operator whose reply was lost retries the edit, possibly at another member after a leader
+    /// change. Applied twice, it would conflict with itself or undo another operator's edit made in
+    /// between. The first reply is part of the replicated state, so every member returns it.
     pub(super) fn apply_edit(&mut self, request: &EditRequest) -> CatalogReply {
         if let Some(reply) = self.operations.get(&request.operation) {
             return reply.clone();
         }
-        let reply = self.decide_edit(request);
+        let reply = self.apply_new_edit(request);
         self.operations.insert(request.operation, reply.clone());
         if self.operations.len() > MAX_OPERATIONS {
-            // Dropping a block at a time keeps the shift cheap.
+            // Evicts in batches, because each drain shifts all remaining replies.
             self.operations.drain(..MAX_OPERATIONS / 10);
         }
         reply
     }
 
-    fn decide_edit(&mut self, request: &EditRequest) -> CatalogReply {
+    fn apply_new_edit(&mut self, request: &EditRequest) -> CatalogReply {
         let current = self.edited_revision(&request.edit);
         if current != request.base {
             return CatalogReply::Conflict { current };
         }
-        if let Err(detail) = self.check_edit(&request.edit, current) {
-            return CatalogReply::Refused(detail);
+        if let Err(rejection) = self.check_edit(&request.edit, current) {
+            return CatalogReply::Refused(rejection);
         }
         let revision = self.next_revision();
         let change = self.change_of(&request.edit, revision);
-        self.commit_change(change);
+        self.apply_config_change(change);
         self.record_history(request, revision);
         CatalogReply::Accepted { revision }
     }
 
-    /// Revision of the thing an edit is about; 0 if it does not exist.
+    /// Revision of the object that an edit changes; 0 if it does not exist.
     fn edited_revision(&self, edit: &ConfigEdit) -> Revision {
         let revision = match edit {
             ConfigEdit::DefineProfile { name, .. }
@@ -65,46 +66,52 @@
         match edit {
             ConfigEdit::DefineProfile { name, spec } => {
                 if exists {
-                    return Err(refusal(format!("profile {name} exists; change it instead")));
+                    return Err(rejection(format!("profile {name} exists; change it instead")));
                 }
                 self.check_profile(name, spec)
             }
             ConfigEdit::ChangeProfile { name, spec } => {
-                require(exists, "profile", name.as_str())?;
+                require_exists(exists, "profile", name.as_str())?;
                 self.check_profile(name, spec)
             }
             ConfigEdit::ResumeProfile { name } => {
-                require(exists, "profile", name.as_str())?;
+                require_exists(exists, "profile", name.as_str())?;
                 let halted = self.view.profiles[name].halted.is_some();
-                if halted { Ok(()) } else { Err(refusal(format!("profile {name} is not halted"))) }
+                if halted {
+                    Ok(())
+                } else {
+                    Err(rejection(format!("profile {name} is not halted")))
+                }
             }
             ConfigEdit::RetireProfile { name } => {
-                require(exists, "profile", name.as_str())?;
+                require_exists(exists, "profile", name.as_str())?;
                 match self.services_of(name).first() {
                     Some(service) => {
-                        Err(refusal(format!("service {service} still runs under {name}")))
+                        Err(rejection(format!("service {service} still runs under {name}")))
                     }
                     None => Ok(()),
                 }
             }
-            ConfigEdit::BindService { profile, .. } => {
-                require(self.view.profiles.contains_key(profile), "profile", profile.as_str())
-            }
-            ConfigEdit::UnbindService { name } => require(exists, "service", name.as_str()),
+            ConfigEdit::BindService { profile, .. } => require_exists(
+                self.view.profiles.contains_key(profile),
+                "profile",
+                profile.as_str(),
+            ),
+            ConfigEdit::UnbindService { name } => require_exists(exists, "service", name.as_str()),
             ConfigEdit::SetOrganisation { spec, .. } => {
-                spec.check().map_err(|error| refusal(error.to_string()))
+                spec.validate().map_err(|error| rejection(error.to_string()))
             }
             ConfigEdit::RemoveOrganisation { name } => {
-                require(exists, "organisation", name.as_str())
+                require_exists(exists, "organisation", name.as_str())
             }
         }
     }
 
     fn check_profile(&self, name: &ProfileName, spec: &ProfileSpec) -> Result<(), EditRejection> {
-        spec.check().map_err(|error| refusal(error.to_string()))?;
+        spec.validate().map_err(|error| rejection(error.to_string()))?;
         match self.view.profile_of_group(&spec.group) {
             Some((holder, _)) if holder != name => {
-                Err(refusal(format!("group {} is governed by profile {holder}", spec.group)))
+                Err(rejection(format!("group {} is governed by profile {holder}", spec.group)))
             }
             _ => Ok(()),
         }
@@ -163,17 +170,17 @@
         }
         let history = self.histories.entry(name.clone()).or_default();
         history.push_back(HistoryRecord { revision, actor: request.actor.clone(), spec });
-        if history.len() > MAX_HISTORY {
+        if history.len() > MAX_HISTORY_RECORDS {
             history.pop_front();
         }
     }
 }
 
-fn refusal(message: String) -> EditRejection {
+fn rejection(message: String) -> EditRejection {
     EditRejection { message, missing: false }
 }
 
-fn require(exists: bool, kind: &str, name: &str) -> Result<(), EditRejection> {
+fn require_exists(exists: bool, kind: &str, name: &str) -> Result<(), EditRejection> {
     if exists {
         return Ok(());
     }
--- a/crates/catalog/src/switch.rs
+++ b/crates/catalog/src/switch.rs
@@ -1,41 +1,41 @@
-//! Orders to targets: fencing numbers and rollout slots, granted together.
+//! Switches of targets to new weights: fencing numbers and rollout slots, granted together.
 //!
-//! An agent asks before it orders its engine to load. The grant carries a fencing number above any
-//! given for that target before, and holds for a limited time; until it ends or runs out, no other
-//! run of the agent is granted one. So for an engine that ignores fencing numbers there is still
-//! only one order-giver.
+//! An agent requests a grant before it orders its engine to load. The grant carries a fencing
+//! number above any issued for that target before, and is held for a limited time. Until it ends or
+//! expires, no other incarnation of the agent is granted one, so that even an engine that ignores
+//! fencing numbers receives orders from one agent at a time.
 
 use crate::LogTime;
 use egretseam_proto::{FencingNumber, Incarnation, InstanceName, ProfileName, Revision, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// Asks to order a target's engine.
+/// Requests a grant to order a target's engine to load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SwitchRequest {
     /// The target.
     pub target: InstanceName,
-    /// Run of its agent.
+    /// Incarnation of its agent.
     pub incarnation: Incarnation,
-    /// Profile to follow.
+    /// Profile that the agent follows.
     pub profile: ProfileName,
-    /// Revision of the profile that the agent works by.
+    /// Revision of the profile that the agent holds.
     pub revision: Revision,
     /// The target's availability zone.
     pub zone: ZoneName,
     /// Whether the target serves now, so that the switch takes it out of service.
     pub in_service: bool,
-    /// For how long the grant should hold.
+    /// Requested duration of the grant.
     pub hold_millis: u64,
 }
 
-/// A grant in force.
+/// A grant to order a target's engine to load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SwitchGrant {
-    /// Number to put on the order.
+    /// Fencing number that the order must carry.
     pub fence: FencingNumber,
-    /// Run that holds the grant.
+    /// Incarnation of the agent that holds the grant.
     pub incarnation: Incarnation,
-    /// Profile followed.
+    /// Profile that the agent follows.
     pub profile: ProfileName,
     /// Revision of that profile.
     pub revision: Revision,
@@ -43,32 +43,32 @@
     pub zone: ZoneName,
     /// Whether the target was taken out of service.
     pub in_service: bool,
-    /// When the grant runs out.
+    /// When the grant expires.
     pub until: LogTime,
 }
 
-/// Why an order must wait or is refused.
+/// Why a grant is denied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SwitchDenial {
-    /// Another run of this target's agent holds a grant for so many more milliseconds.
+    /// Another incarnation of this target's agent holds a grant.
     HeldElsewhere {
-        /// Time left.
+        /// Milliseconds until that grant expires.
         millis: u64,
     },
-    /// Enough targets are out of service.
+    /// The current wave has `max_unavailable` targets.
     WaveFull,
-    /// The present wave is in another availability zone.
+    /// The current wave is in another availability zone.
     OtherZone,
-    /// The first target of this revision has not finished yet.
+    /// The first target has not loaded this revision yet.
     AwaitingFirst,
-    /// A load of this revision failed.
+    /// The rollout was halted because a target failed to load this revision.
     Halted {
         /// Why.
         reason: String,
     },
-    /// The profile changed since.
+    /// The profile is no longer at the requested revision.
     Outdated {
-        /// Its revision, if it still exists.
+        /// Its current revision, if it still exists.
         current: Option<Revision>,
     },
 }
@@ -76,13 +76,13 @@
 /// How a switch ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SwitchOutcome {
-    /// The engine reports the version.
+    /// The engine reports that the version is loaded.
     Loaded,
-    /// The engine refused or failed the load.
+    /// The engine rejected the order, or did not load the version.
     Failed {
         /// Why.
         reason: String,
     },
-    /// Given up before an order was sent.
+    /// The agent gave up before the engine accepted an order.
     Abandoned,
 }
