--- a/tests/all/catalog_model.rs
+++ b/tests/all/catalog_model.rs
@@ -1,5 +1,5 @@
-//! Operators racing and resending against the catalog, compared with a reference that is nothing
-//! but the rule: a change wins if and only if it was based on the present revision.
+//! Concurrent edits and retries of operators against the catalog, compared with a reference model:
+//! an edit is accepted if and only if it is based on the current revision and breaks no rule.
 
 use egretseam_catalog::{
     CatalogCommand, CatalogReply, CatalogState, ConfigEdit, ConfigUpdate, ConfigView, EditRequest,
@@ -15,7 +15,7 @@
 };
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-/// One operator's action on one of a few profiles.
+/// An operator's action on one of three profiles, or a restart from a snapshot.
 #[derive(Clone, Debug)]
 enum OperatorAction {
     Define { profile: u8, stale: bool },
@@ -23,11 +23,12 @@
     Retire { profile: u8 },
     Bind { profile: u8 },
     Unbind,
-    ResendLast,
-    Snapshot,
+    RetryLast,
+    RestoreSnapshot,
 }
 
-/// What must be in force.
+/// The configuration that must be in force: profiles with their revision and limit, and the
+/// service's profile with the revision of the binding.
 #[derive(Clone, Debug, Default)]
 struct ConfigReference {
     revision: u64,
@@ -54,8 +55,8 @@
             2 => profile.clone().prop_map(|profile| OperatorAction::Retire { profile }),
             2 => profile.prop_map(|profile| OperatorAction::Bind { profile }),
             1 => Just(OperatorAction::Unbind),
-            3 => Just(OperatorAction::ResendLast),
-            1 => Just(OperatorAction::Snapshot),
+            3 => Just(OperatorAction::RetryLast),
+            1 => Just(OperatorAction::RestoreSnapshot),
         ]
         .boxed()
     }
@@ -64,11 +65,11 @@
         let next = state.revision + 1;
         let accepted = match action {
             OperatorAction::Define { profile, stale } => {
-                let free = !stale && !state.profiles.contains_key(profile);
-                if free {
+                let is_new = !stale && !state.profiles.contains_key(profile);
+                if is_new {
                     state.profiles.insert(*profile, (next, 1));
                 }
-                free
+                is_new
             }
             OperatorAction::Change { profile, stale, limit } => {
                 let known = !stale && state.profiles.contains_key(profile);
@@ -89,7 +90,7 @@
                 known
             }
             OperatorAction::Unbind => state.bound.take().is_some(),
-            OperatorAction::ResendLast | OperatorAction::Snapshot => false,
+            OperatorAction::RetryLast | OperatorAction::RestoreSnapshot => false,
         };
         state.revision += u64::from(accepted);
         state
@@ -98,8 +99,8 @@
 
 struct CatalogUnderTest {
     catalog: CatalogState,
-    /// A holder that is brought forward by updates only.
-    holder: ConfigView,
+    /// View at revision 0; each check updates a copy of it.
+    empty_view: ConfigView,
     last: Option<(EditRequest, CatalogReply)>,
     operations: u64,
 }
@@ -142,7 +143,10 @@
         let operation = OperationId(self.operations);
         let request = EditRequest { operation, base, actor: "test".to_owned(), edit };
         let reply = self.send(&request);
-        assert!(!stale || matches!(reply, CatalogReply::Conflict { .. }), "a stale base must lose");
+        assert!(
+            !stale || matches!(reply, CatalogReply::Conflict { .. }),
+            "an edit with a stale base must conflict"
+        );
         self.last = Some((request, reply));
     }
 }
@@ -156,8 +160,8 @@
     type Reference = ConfigReference;
 
     fn init_test(_: &ConfigReference) -> Self {
-        let (catalog, holder) = (CatalogState::new(), ConfigView::default());
-        Self { catalog, holder, last: None, operations: 0 }
+        let (catalog, empty_view) = (CatalogState::new(), ConfigView::default());
+        Self { catalog, empty_view, last: None, operations: 0 }
     }
 
     fn apply(mut test: Self, _: &ConfigReference, action: OperatorAction) -> Self {
@@ -185,14 +189,14 @@
                 let base = test.service_revision();
                 test.edit(base, false, ConfigEdit::UnbindService { name: service() });
             }
-            OperatorAction::ResendLast => {
+            OperatorAction::RetryLast => {
                 if let Some((request, reply)) = test.last.clone() {
-                    assert_eq!(test.send(&request), reply, "a resend gets the first reply");
+                    assert_eq!(test.send(&request), reply, "a retry must get the first reply");
                 }
             }
-            OperatorAction::Snapshot => {
+            OperatorAction::RestoreSnapshot => {
                 let bytes = test.catalog.encode();
-                test.catalog = CatalogState::decode(&bytes).expect("our own snapshot");
+                test.catalog = CatalogState::decode(&bytes).expect("a valid snapshot");
             }
         }
         test
@@ -208,14 +212,14 @@
         }
         let bound = view.services.get(&service()).map(|binding| binding.profile.clone());
         assert_eq!(bound, reference.bound.map(|(profile, _)| name(profile)));
-        // Whatever a holder missed, one update brings it to the same configuration.
-        let mut holder = test.holder.clone();
-        let update = test.catalog.update_since(holder.revision);
-        assert!(update != ConfigUpdate::Current || holder.revision == view.revision);
-        holder.apply_update(update);
-        assert_eq!(holder.revision, view.revision);
-        // IndexMap compares without regard to order, as the configuration means it.
-        assert_eq!(&holder, view);
+        // One update brings an empty view to the current configuration.
+        let mut updated = test.empty_view.clone();
+        let update = test.catalog.update_since(updated.revision);
+        assert!(update != ConfigUpdate::Current || updated.revision == view.revision);
+        updated.apply_update(update);
+        assert_eq!(updated.revision, view.revision);
+        // `IndexMap` equality ignores order, which has no meaning in the configuration.
+        assert_eq!(&updated, view);
     }
 }
 
@@ -228,35 +232,39 @@
     })]
 
     #[test]
-    fn races_and_resends_have_one_outcome(sequential 1..80 => CatalogUnderTest);
+    fn concurrent_edits_and_retries_match_the_reference(sequential 1..80 => CatalogUnderTest);
 }
-/// Guards against data folders that cannot be read after an upgrade: a snapshot made before contents were
-/// kept ends before their table.
+
+/// Prevents data folders that cannot be read after an upgrade: a snapshot made before content
+/// digests were stored ends before their table.
 #[test]
-fn a_snapshot_without_contents_can_be_read() {
+fn a_snapshot_without_content_digests_decodes() {
     let bytes = CatalogState::new().encode();
-    let (empty_table, shorter) = bytes.split_last().expect("it has bytes");
+    let (empty_table, shorter) = bytes.split_last().expect("a snapshot is not empty");
     assert_eq!(*empty_table, 0);
     assert_eq!(CatalogState::decode(shorter), Ok(CatalogState::new()));
 }
 
-/// Guards against weights that are told for another version than they are: each content keeps its version,
-/// also in a snapshot and behind many later ones.
+/// Prevents staged weights from being identified as another version: each content digest keeps its
+/// version across a snapshot and after many later versions were recorded.
 #[test]
-fn versions_are_told_by_their_content() {
+fn content_digests_identify_versions() {
     let model = ModelName::try_from("chat").expect("a valid name");
-    let content = |version: u64| ContentDigest::of(&version.to_le_bytes());
+    let digest_of = |version: u64| ContentDigest::of(&version.to_le_bytes());
     let mut catalog = CatalogState::new();
     for version in 1..=40 {
-        let command =
-            CatalogCommand::NoteContent { model: model.clone(), version, digest: content(version) };
+        let command = CatalogCommand::NoteContent {
+            model: model.clone(),
+            version,
+            digest: digest_of(version),
+        };
         for at in [LogTime(0), LogTime(1)] {
             catalog.apply(&TimestampedCommand { at, command: command.clone() });
         }
     }
     let restored = CatalogState::decode(&catalog.encode()).expect("a snapshot");
     for version in 1..=40 {
-        assert_eq!(restored.version_of(&model, &content(version)), Some(version));
+        assert_eq!(restored.version_of(&model, &digest_of(version)), Some(version));
     }
-    assert_eq!(restored.version_of(&model, &content(41)), None);
+    assert_eq!(restored.version_of(&model, &digest_of(41)), None);
 }
