--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -339,7 +339,7 @@
         if !output.writes.is_empty() {
             self.write(output.writes).await?;
         }
-        self.node.synced();
+        self.node.record_sync();
         self.outbox.send(output.send_after_sync);
         if let Some(image) = output.restore {
             self.restore(&image.data, image.index);
@@ -347,9 +347,9 @@
         for entry in output.committed {
             self.apply(entry);
         }
-        for grant in output.reads {
-            if let Some(reply) = self.reads.shift_remove(&grant.token) {
-                reply.send(grant.index).ok();
+        for outcome in output.reads {
+            if let Some(reply) = self.reads.shift_remove(&outcome.token) {
+                reply.send(outcome.index).ok();
             }
         }
         Ok(())
--- a/crates/replica/src/node/output.rs
+++ b/crates/replica/src/node/output.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     membership::{MemberId, Membership},
-    message::{Envelope, LogEntry, LogIndex, LogWrite, ReadGrant, SnapshotImage, Term},
+    message::{Envelope, LogEntry, LogIndex, LogWrite, ReadOutcome, SnapshotImage, Term},
 };
 use std::time::Duration;
 use thiserror::Error;
@@ -51,7 +51,7 @@
     /// The peer.
     pub id: MemberId,
     /// Last entry known to be on the peer's disk.
-    pub matched: LogIndex,
+    pub match_index: LogIndex,
     /// Time since the peer last answered.
     pub silent_for: Duration,
 }
@@ -68,11 +68,11 @@
     /// Known leader.
     pub leader: Option<MemberId>,
     /// Last committed entry.
-    pub commit: LogIndex,
+    pub commit_index: LogIndex,
     /// Last entry.
-    pub last: LogIndex,
+    pub last_index: LogIndex,
     /// First entry behind the snapshot.
-    pub first: LogIndex,
+    pub first_index: LogIndex,
     /// Membership in force.
     pub membership: Membership,
     /// Peers' progress; empty unless leading.
@@ -84,7 +84,7 @@
 pub struct ReplicaOutput {
     /// Messages that may leave before the writes are synced.
     pub send_now: Vec<Envelope>,
-    /// Writes, in order; all must be synced before `synced` is called.
+    /// Writes, in order; all must be synced before `record_sync` is called.
     pub writes: Vec<LogWrite>,
     /// Messages that vouch for the writes: votes and acknowledgements.
     pub send_after_sync: Vec<Envelope>,
@@ -93,7 +93,7 @@
     /// Entries to apply, in order.
     pub committed: Vec<LogEntry>,
     /// Reads that were confirmed or dropped.
-    pub reads: Vec<ReadGrant>,
+    pub reads: Vec<ReadOutcome>,
 }
 
 impl ReplicaOutput {
--- a/examples/embed_replica.rs
+++ b/examples/embed_replica.rs
@@ -13,11 +13,11 @@
         if output.is_empty() {
             return Ok(applied);
         }
-        // With more members: send `send_now` here, and `send_after_sync` after `synced`.
+        // With more members: send `send_now` here, and `send_after_sync` after `record_sync`.
         if !output.writes.is_empty() {
             store.write(&output.writes)?;
         }
-        node.synced();
+        node.record_sync();
         for entry in output.committed {
             if let EntryPayload::Command(bytes) = entry.payload {
                 applied.push(bytes);
@@ -34,7 +34,13 @@
 }
 
 fn run(folder: &Path) -> anyhow::Result<()> {
-    LogStore::found(folder, MemberId(rand::random()), GroupId(rand::random()), "a", "10.0.0.1:1")?;
+    LogStore::bootstrap(
+        folder,
+        MemberId(rand::random()),
+        GroupId(rand::random()),
+        "a",
+        "10.0.0.1:1",
+    )?;
     let (mut store, identity, state) = LogStore::open(folder)?;
     let mut node = ReplicaNode::new(&identity, state, ReplicaConfig::default().check()?, 1);
     node.tick(Duration::from_millis(1));
