--- a/tests/all/serving_documents.rs
+++ b/tests/all/serving_documents.rs
@@ -2,7 +2,7 @@
 
 use crate::serving_config::{check, config};
 use egretseam_catalog::{
-    CatalogCommand, CatalogReply, CatalogState, LogTime, ServingChange, StampedCommand,
+    CatalogCommand, CatalogReply, CatalogState, LogTime, ServingChange, TimestampedCommand,
 };
 use egretseam_delta::{DocumentHistory, PackedDocument, UnpackError};
 use egretseam_serving::{ConfigApplyError, ConfigHolder, ConfigRequest, ServingConfig};
@@ -31,8 +31,8 @@
     config(version, Value::Array((0..routes).map(route).collect()))
 }
 
-fn stamped(change: ServingChange) -> StampedCommand {
-    StampedCommand { at: LogTime(0), command: CatalogCommand::ReplaceServing(change) }
+fn stamped(change: ServingChange) -> TimestampedCommand {
+    TimestampedCommand { at: LogTime(0), command: CatalogCommand::ReplaceServing(change) }
 }
 
 fn encoded(config: &ServingConfig) -> Vec<u8> {
@@ -89,14 +89,14 @@
     let mut state = CatalogState::new();
     let [first, second, third] =
         [1, 2, 3].map(|version| large_config(version, 30, version * 100).to_string());
-    state.apply(&stamped(ServingChange::whole(1, first.as_bytes())));
+    state.apply(&stamped(ServingChange::full(1, first.as_bytes())));
     let base = state.serving().expect("accepted").clone();
-    let early = ServingChange::since(&base, 2, second.as_bytes());
-    let late = ServingChange::since(&base, 3, third.as_bytes());
+    let early = ServingChange::delta_from(&base, 2, second.as_bytes());
+    let late = ServingChange::delta_from(&base, 3, third.as_bytes());
     assert_eq!(state.apply(&stamped(early.clone())), CatalogReply::Done);
     assert_eq!(state.apply(&stamped(late)), CatalogReply::OtherBase);
     assert_eq!(state.serving().expect("kept").content, second.as_bytes());
-    let complete = ServingChange::whole(3, third.as_bytes());
+    let complete = ServingChange::full(3, third.as_bytes());
     assert_eq!(state.apply(&stamped(complete)), CatalogReply::Done);
     assert_eq!(state.serving().expect("accepted").content, third.as_bytes());
     assert_eq!(state.apply(&stamped(early)), CatalogReply::Done, "superseded, and sent again");
@@ -115,8 +115,8 @@
         // Indentation and an unusual line ending, as an operator's editor may leave them.
         text = format!("{:#} \r\n", large_config(version, ROUTES, 1_000 + version));
         let change = match state.serving() {
-            Some(held) => ServingChange::since(held, version, text.as_bytes()),
-            None => ServingChange::whole(version, text.as_bytes()),
+            Some(held) => ServingChange::delta_from(held, version, text.as_bytes()),
+            None => ServingChange::full(version, text.as_bytes()),
         };
         let command = stamped(change);
         log_bytes += postcard::to_stdvec(&command).expect("in memory").len();
