--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -110,7 +110,7 @@
 fn table(size: usize) -> anyhow::Result<TargetTable> {
     let mut table = TargetTable::new(RoutingOptions::default(), 1);
     for number in 0..size {
-        table.note_report(report(number, 1)?, Duration::from_secs(100));
+        table.apply_report(report(number, 1)?, Duration::from_secs(100));
     }
     Ok(table)
 }
@@ -145,7 +145,7 @@
             .collect::<Result<_, _>>()?;
         let begun = Instant::now();
         for report in reports {
-            table.note_report(report, Duration::from_secs(101));
+            table.apply_report(report, Duration::from_secs(101));
         }
         points.push((size as f64, begun.elapsed().as_secs_f64() * 1e6));
     }
--- a/crates/entry/src/guards.rs
+++ b/crates/entry/src/guards.rs
@@ -65,7 +65,7 @@
 
 impl TargetGuard {
     pub(crate) fn new(shared: Rc<EntryShared>, target: &InstanceName) -> Self {
-        shared.targets.borrow_mut().note_start(target);
+        shared.targets.borrow_mut().record_start(target);
         Self { shared, target: target.clone(), outcome: RequestOutcome::Cancelled }
     }
 
@@ -78,6 +78,6 @@
 impl Drop for TargetGuard {
     fn drop(&mut self) {
         let now = self.shared.now();
-        self.shared.targets.borrow_mut().note_end(&self.target, self.outcome, now);
+        self.shared.targets.borrow_mut().record_end(&self.target, self.outcome, now);
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -48,7 +48,7 @@
             zone: report.zone.clone(),
             chunk_address: report.chunk_address.clone(),
         };
-        targets.members(group, self.shared.now()).map(record).collect()
+        targets.swarm_members(group, self.shared.now()).map(record).collect()
     }
 }
 
@@ -58,7 +58,7 @@
         shared.counters.reports.inc();
         let lease = shared.lease_left();
         let group = call.report.group.clone();
-        if shared.targets.borrow_mut().note_report(call.report, shared.now()) {
+        if shared.targets.borrow_mut().apply_report(call.report, shared.now()) {
             shared.peers_number.set(shared.peers_number.get() + 1);
         }
         shared.refresh_limits();
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -139,7 +139,7 @@
         let limit_of = |group: &egretseam_proto::GroupName| {
             view.profile_of_group(group).map_or(0, |(_, record)| record.spec.max_in_flight)
         };
-        self.targets.borrow_mut().set_entries(view.entries.len());
+        self.targets.borrow_mut().set_entry_count(view.entries.len());
         let capacity = self.targets.borrow().capacity(limit_of, self.now());
         let mut admission = self.admission.borrow_mut();
         admission.set_capacity(capacity);
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -17,32 +17,32 @@
     /// How targets are chosen.
     pub policy: ChoicePolicy,
     /// Silence after which a target gets nothing.
-    pub report_limit: Duration,
+    pub report_timeout: Duration,
     /// Silence after which a target is forgotten.
-    pub forget_after: Duration,
+    pub remove_after: Duration,
     /// Failures in a row that eject a target.
-    pub eject_after: u32,
+    pub consecutive_failures: u32,
     /// First ejection's length; doubles with each further one.
-    pub eject_for: Duration,
+    pub base_ejection_time: Duration,
     /// Part of a group that may be ejected; beyond it nothing more is.
-    pub eject_at_most: f64,
+    pub max_ejected_ratio: f64,
     /// Time over which a target that starts to serve takes on its full part.
     pub slow_start: Duration,
     /// Use of own-zone targets above which others are considered too.
-    pub spill_above: f64,
+    pub spillover_threshold: f64,
 }
 
 impl Default for RoutingOptions {
     fn default() -> Self {
         Self {
             policy: ChoicePolicy::Balanced,
-            report_limit: Duration::from_secs(3),
-            forget_after: Duration::from_secs(30),
-            eject_after: 3,
-            eject_for: Duration::from_secs(1),
-            eject_at_most: 0.5,
+            report_timeout: Duration::from_secs(3),
+            remove_after: Duration::from_secs(30),
+            consecutive_failures: 3,
+            base_ejection_time: Duration::from_secs(1),
+            max_ejected_ratio: 0.5,
             slow_start: Duration::from_secs(5),
-            spill_above: 0.75,
+            spillover_threshold: 0.75,
         }
     }
 }
@@ -118,7 +118,7 @@
     ///
     /// A report of an earlier run, or one that was overtaken by a later one on the network, is
     /// dropped: taken for news, it could put a target back that has just said it is leaving.
-    pub fn note_report(&mut self, report: TargetReport, now: Duration) -> bool {
+    pub fn apply_report(&mut self, report: TargetReport, now: Duration) -> bool {
         let known = self.rows.get_mut(&report.target);
         if known.as_ref().is_some_and(|row| row.report.incarnation > report.incarnation) {
             return false;
@@ -156,14 +156,14 @@
     }
 
     /// A request of this entry starts at `target`.
-    pub fn note_start(&mut self, target: &InstanceName) {
+    pub fn record_start(&mut self, target: &InstanceName) {
         if let Some(row) = self.rows.get_mut(target) {
             row.own += 1;
         }
     }
 
     /// A request of this entry ended at `target`.
-    pub fn note_end(&mut self, target: &InstanceName, outcome: RequestOutcome, now: Duration) {
+    pub fn record_end(&mut self, target: &InstanceName, outcome: RequestOutcome, now: Duration) {
         let options = self.options;
         let Some(row) = self.rows.get_mut(target) else { return };
         row.own = row.own.saturating_sub(1);
@@ -185,8 +185,12 @@
     }
 
     /// Live targets of a group, serving or not: the announced swarm.
-    pub fn members(&self, group: &GroupName, now: Duration) -> impl Iterator<Item = &TargetReport> {
-        let limit = self.options.report_limit;
+    pub fn swarm_members(
+        &self,
+        group: &GroupName,
+        now: Duration,
+    ) -> impl Iterator<Item = &TargetReport> {
+        let limit = self.options.report_timeout;
         self.rows
             .values()
             .filter(move |row| now.saturating_sub(row.reported_at) < limit)
@@ -195,7 +199,7 @@
     }
 
     /// Sets how many entries share the targets.
-    pub fn set_entries(&mut self, entries: usize) {
+    pub fn set_entry_count(&mut self, entries: usize) {
         self.entries = entries.max(1) as u32;
     }
 
@@ -222,7 +226,7 @@
     }
 
     /// How many live targets of a group serve exactly these weights.
-    pub fn replicas(&self, group: &GroupName, manifest: ManifestId, now: Duration) -> usize {
+    pub fn replica_count(&self, group: &GroupName, manifest: ManifestId, now: Duration) -> usize {
         let live = self.rows.values().filter(|row| self.is_live(row, now));
         let holds = |row: &&TargetRow| {
             row.report.group == *group
@@ -244,7 +248,7 @@
 
     /// Zones of live targets of a group.
     pub fn zones(&self, group: &GroupName, now: Duration) -> Vec<&ZoneName> {
-        self.members(group, now).map(|report| &report.zone).collect()
+        self.swarm_members(group, now).map(|report| &report.zone).collect()
     }
 
     /// Forgets targets that have long been silent; returns whether the announced swarm changed.
@@ -254,7 +258,7 @@
     /// the swarm long before the row goes. One that goes silent while another returns in the same
     /// tick is told with the next change; its peers avoid it by themselves meanwhile.
     pub fn tick(&mut self, now: Duration) -> bool {
-        let (forget, limit) = (self.options.forget_after, self.options.report_limit);
+        let (forget, limit) = (self.options.remove_after, self.options.report_timeout);
         self.rows.retain(|_, row| now.saturating_sub(row.reported_at) < forget || row.own > 0);
         let live = |row: &&TargetRow| now.saturating_sub(row.reported_at) < limit;
         let count = self.rows.values().filter(live).count();
@@ -263,7 +267,7 @@
 
     fn is_live(&self, row: &TargetRow, now: Duration) -> bool {
         row.report.state == TargetState::Serving
-            && now.saturating_sub(row.reported_at) < self.options.report_limit
+            && now.saturating_sub(row.reported_at) < self.options.report_timeout
     }
 }
 
@@ -292,11 +296,15 @@
             RefusalReason::Leaving
             | RefusalReason::VersionMismatch
             | RefusalReason::Stopping
-            | RefusalReason::OtherIncarnation => self.ejected_until = now + options.eject_for,
+            | RefusalReason::OtherIncarnation => {
+                self.ejected_until = now + options.base_ejection_time
+            }
             RefusalReason::ConnectFailed | RefusalReason::BrokenAnswer => {
                 self.failures += 1;
-                if self.failures >= options.eject_after || reason == RefusalReason::ConnectFailed {
-                    let doubled = options.eject_for * 2_u32.pow(self.ejections.min(5));
+                if self.failures >= options.consecutive_failures
+                    || reason == RefusalReason::ConnectFailed
+                {
+                    let doubled = options.base_ejection_time * 2_u32.pow(self.ejections.min(5));
                     self.ejected_until = now + doubled.min(LONGEST_EJECTION);
                     self.ejections += 1;
                     self.failures = 0;
--- a/crates/routing/src/target/choose.rs
+++ b/crates/routing/src/target/choose.rs
@@ -112,7 +112,7 @@
         let all: Vec<usize> = (0..self.rows.len()).filter(|at| fits(&self.rows[*at])).collect();
         let kept = |at: &usize| self.rows[*at].ejected_until <= now;
         let sound: Vec<usize> = all.iter().copied().filter(kept).collect();
-        let floor = all.len() as f64 * (1.0 - self.options.eject_at_most);
+        let floor = all.len() as f64 * (1.0 - self.options.max_ejected_ratio);
         let chosen = if (sound.len() as f64) < floor || sound.is_empty() { all } else { sound };
         let tried = |at: &usize| query.exclude.contains(&self.rows[*at].report.target);
         chosen.into_iter().filter(|at| !tried(at)).collect()
@@ -159,7 +159,7 @@
     }
 
     fn is_crowded(&self, at: usize, query: &ChoiceQuery<'_>) -> bool {
-        self.load(at) / f64::from(query.max_in_flight) > self.options.spill_above
+        self.load(at) / f64::from(query.max_in_flight) > self.options.spillover_threshold
     }
 
     /// A target that probably has the prompt's beginning, if its load is near the others'.
--- a/examples/embed_routing.rs
+++ b/examples/embed_routing.rs
@@ -27,7 +27,7 @@
             chunks_total: 0,
             sequence: 1,
         };
-        table.note_report(report, Duration::ZERO);
+        table.apply_report(report, Duration::ZERO);
     }
     let query = ChoiceQuery {
         group: &group,
@@ -40,10 +40,10 @@
     for request in 0..6 {
         let now = Duration::from_millis(request * 10);
         let choice = table.choose(&query, &PrefixIndex::new(), now)?;
-        table.note_start(&choice.target);
+        table.record_start(&choice.target);
         println!("request {request} goes to {}", choice.target);
         let failed = RequestOutcome::Failed(RefusalReason::ConnectFailed);
-        table.note_end(&choice.target, failed, now);
+        table.record_end(&choice.target, failed, now);
     }
     Ok(())
 }
--- a/tests/all/scenarios/routing_script.rs
+++ b/tests/all/scenarios/routing_script.rs
@@ -52,7 +52,7 @@
             chunks_total: 0,
             sequence: number_or(command, "sequence", self.sequence)?,
         };
-        self.table.note_report(report, self.now);
+        self.table.apply_report(report, self.now);
         Ok(String::new())
     }
 
@@ -91,8 +91,8 @@
         let target = InstanceName::try_from(text(command, "target")?)?;
         let reason = text(command, "reason")?;
         let reason: RefusalReason = reason.parse().map_err(|()| format!("no reason {reason}"))?;
-        self.table.note_start(&target);
-        self.table.note_end(&target, RequestOutcome::Failed(reason), self.now);
+        self.table.record_start(&target);
+        self.table.record_end(&target, RequestOutcome::Failed(reason), self.now);
         Ok(String::new())
     }
 }
