--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -40,7 +40,7 @@
     })?;
     shared.confirm_lease(&profile)?;
     let admitted = admit(shared, &call).await?;
-    shared.budget.borrow_mut().note_request(&call.organisation);
+    shared.budget.borrow_mut().record_request(&call.organisation);
     let result = match call.key.clone() {
         Some(key) => forward_keyed(shared, &call, &profile, &key).await,
         None => forward_plain(shared, &call, &profile).await,
@@ -70,7 +70,7 @@
 ) -> Result<AdmissionGuard, FailureReport> {
     let now = shared.now();
     let patience = call.deadline.saturating_duration_since(Instant::now());
-    let decision = shared.admission.borrow_mut().arrive(&call.organisation, patience, now);
+    let decision = shared.admission.borrow_mut().try_admit(&call.organisation, patience, now);
     match decision {
         AdmissionDecision::Admitted => {}
         AdmissionDecision::Refused(report) => return Err(report),
@@ -111,7 +111,7 @@
     let index = shared.prefixes.borrow();
     let choice = shared.targets.borrow_mut().choose(&query, &index, now)?;
     drop(index);
-    shared.prefixes.borrow_mut().note_routed(&call.prefix, &choice.target, now);
+    shared.prefixes.borrow_mut().record_routed(&call.prefix, &choice.target, now);
     Ok(choice)
 }
 
@@ -194,7 +194,7 @@
 fn may_retry(shared: &EntryShared, call: &CallerCall, failure: &FailureReport) -> bool {
     let harmless = failure.verdict == RequestVerdict::NotRun || call.repeatable;
     let in_time = Instant::now() < call.deadline;
-    harmless && in_time && shared.budget.borrow_mut().take(&call.organisation)
+    harmless && in_time && shared.budget.borrow_mut().spend(&call.organisation)
 }
 
 /// Holds an answer whole, or leaves it open to be relayed.
@@ -280,7 +280,8 @@
                 tokio::time::sleep(BOUND_PAUSE).await;
             }
         }
-        if Instant::now() >= call.deadline || !shared.budget.borrow_mut().take(&call.organisation) {
+        if Instant::now() >= call.deadline || !shared.budget.borrow_mut().spend(&call.organisation)
+        {
             break;
         }
         shared.metrics.count_retry(reason);
--- a/crates/entry/src/guards.rs
+++ b/crates/entry/src/guards.rs
@@ -51,7 +51,7 @@
         let Some(ticket) = self.ticket else { return };
         let waited = self.shared.waiters.borrow_mut().shift_remove(&ticket).is_some();
         if waited {
-            self.shared.admission.borrow_mut().abandon(ticket);
+            self.shared.admission.borrow_mut().cancel(ticket);
         }
     }
 }
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -160,7 +160,7 @@
         let manifest = self.reply.choice.manifest;
         self.tried.push(self.reply.choice.target.clone());
         while self.tried.len() <= MAX_RESUMES && Instant::now() < self.call.deadline {
-            if !self.shared.budget.borrow_mut().take(&self.call.organisation) {
+            if !self.shared.budget.borrow_mut().spend(&self.call.organisation) {
                 return false;
             }
             let chosen =
@@ -179,7 +179,7 @@
                 Ok(reply) => self.tried.push(reply.choice.target.clone()),
                 Err(failure) => {
                     if failure.report.reason == RefusalReason::ConnectFailed {
-                        self.shared.budget.borrow_mut().give_back(&self.call.organisation);
+                        self.shared.budget.borrow_mut().refund(&self.call.organisation);
                     }
                     self.tried.push(target);
                 }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -39,7 +39,7 @@
     /// It goes on now; its end must be reported.
     Admitted,
     /// It waits; it is admitted by [`AdmissionTable::release`] or given up with
-    /// [`AdmissionTable::abandon`].
+    /// [`AdmissionTable::cancel`].
     Queued(QueueTicket),
     /// It is refused now.
     Refused(FailureReport),
@@ -108,7 +108,7 @@
     }
 
     /// Decides on an arriving request that must be answered within `patience`.
-    pub fn arrive(
+    pub fn try_admit(
         &mut self,
         organisation: &OrganisationName,
         patience: Duration,
@@ -142,7 +142,7 @@
     }
 
     /// A waiting request's caller went away or its time ran out.
-    pub fn abandon(&mut self, ticket: QueueTicket) {
+    pub fn cancel(&mut self, ticket: QueueTicket) {
         let Some(at) = self.waiting.iter().position(|row| row.ticket == ticket) else { return };
         let row = self.waiting.remove(at);
         if let Some(share) = self.shares.get_mut(&row.organisation) {
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -43,7 +43,7 @@
 
     /// Hash of the first block: equal at every entry, so that entries agree where a new prompt's
     /// beginning should live without telling each other.
-    pub fn first(&self) -> Option<u64> {
+    pub fn first_block(&self) -> Option<u64> {
         self.blocks.first().copied()
     }
 }
@@ -84,7 +84,7 @@
     }
 
     /// Notes that `target` is about to compute a prompt with this key.
-    pub fn note_routed(&mut self, key: &PrefixKey, target: &InstanceName, now: Duration) {
+    pub fn record_routed(&mut self, key: &PrefixKey, target: &InstanceName, now: Duration) {
         for block in &key.blocks {
             let row = self.rows.entry(*block).or_default();
             row.holders.retain(|holder| holder.target != *target);
@@ -101,7 +101,7 @@
 
     /// A target's cache was lost, or its events had a gap: what was noted before `now` is no longer
     /// trusted.
-    pub fn distrust(&mut self, target: &InstanceName, now: Duration) {
+    pub fn invalidate_target(&mut self, target: &InstanceName, now: Duration) {
         self.distrusted_before.insert(target.clone(), now);
     }
 
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -26,13 +26,13 @@
     }
 
     /// Notes a first send.
-    pub fn note_request(&mut self, organisation: &OrganisationName) {
+    pub fn record_request(&mut self, organisation: &OrganisationName) {
         let saved = self.saved.entry(organisation.clone()).or_insert(MOST_SAVED);
         *saved = (*saved + EARNED_PER_REQUEST).min(MOST_SAVED);
     }
 
     /// Takes one retry; returns whether there was one.
-    pub fn take(&mut self, organisation: &OrganisationName) -> bool {
+    pub fn spend(&mut self, organisation: &OrganisationName) -> bool {
         let saved = self.saved.entry(organisation.clone()).or_insert(MOST_SAVED);
         if *saved < 1.0 {
             return false;
@@ -46,7 +46,7 @@
     /// Failure guarded: many targets die at once, and each request meets several of them in a row.
     /// Charged for these, an organisation runs out of retries while a target that could answer
     /// stands idle.
-    pub fn give_back(&mut self, organisation: &OrganisationName) {
+    pub fn refund(&mut self, organisation: &OrganisationName) {
         if let Some(saved) = self.saved.get_mut(organisation) {
             *saved = (*saved + 1.0).min(MOST_SAVED);
         }
--- a/crates/routing/src/target/choose.rs
+++ b/crates/routing/src/target/choose.rs
@@ -170,7 +170,7 @@
         index: &PrefixIndex,
         now: Duration,
     ) -> Option<usize> {
-        let first = query.prefix.first()?;
+        let first = query.prefix.first_block()?;
         let mean = open.iter().map(|at| self.load(*at)).sum::<f64>() / open.len() as f64;
         let bound = mean * AFFINITY_LOAD_FACTOR + AFFINITY_SLACK;
         let fits = |at: &usize| self.load(*at) <= bound && self.ramp(*at, now) >= 1.0;
