--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,59 +1,61 @@
-//! How many requests may be sent again.
+//! Retry budgets of organisations.
 
 use egretseam_proto::OrganisationName;
 use indexmap::IndexMap;
 
-/// Retries earned by each first send.
-const EARNED_PER_REQUEST: f64 = 0.1;
-/// Most retries saved up, and what an organisation starts with: lets a quiet organisation's few
-/// requests survive a dying target.
-const MOST_SAVED: f64 = 10.0;
+/// Retries that each request adds to the budget of its organisation.
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Largest budget of an organisation, with which it starts: lets the few requests of an
+/// organisation with little traffic survive the failure of a target.
+const MAX_SAVED_RETRIES: f64 = 10.0;
 
 /// Retries that each organisation has left.
 ///
-/// Failure guarded: in a brown-out every request fails once and is sent again, which doubles the
-/// load on what is left and makes the brown-out last. With a budget retries stay near a tenth of
-/// the organisation's own requests, whatever fails, and one organisation cannot use up another's.
+/// Without a budget, when every request fails once during a brown-out, each is retried, which
+/// doubles the load on the remaining targets and prolongs the brown-out. With it, retries stay near
+/// a tenth of the organisation's own requests whatever fails, and no organisation can use up the
+/// budget of another.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
-    saved: IndexMap<OrganisationName, f64>,
+    balances: IndexMap<OrganisationName, f64>,
 }
 
 impl RetryBudget {
-    /// Budgets of organisations that have sent nothing yet.
+    /// Budgets of organisations that have not sent a request yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a first send.
+    /// Records a request that is not a retry.
     pub fn record_request(&mut self, organisation: &OrganisationName) {
-        let saved = self.saved.entry(organisation.clone()).or_insert(MOST_SAVED);
-        *saved = (*saved + EARNED_PER_REQUEST).min(MOST_SAVED);
+        let balance = self.balances.entry(organisation.clone()).or_insert(MAX_SAVED_RETRIES);
+        *balance = (*balance + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry; returns whether there was one.
+    /// Takes one retry from the budget; returns whether one was left.
     pub fn spend(&mut self, organisation: &OrganisationName) -> bool {
-        let saved = self.saved.entry(organisation.clone()).or_insert(MOST_SAVED);
-        if *saved < 1.0 {
+        let balance = self.balances.entry(organisation.clone()).or_insert(MAX_SAVED_RETRIES);
+        if *balance < 1.0 {
             return false;
         }
-        *saved -= 1.0;
+        *balance -= 1.0;
         true
     }
 
-    /// Gives a retry back that reached nobody: a refused connection adds no load to what is left.
+    /// Returns to the budget a retry that reached no target: a failed connection adds no load to
+    /// the remaining targets.
     ///
-    /// Failure guarded: many targets die at once, and each request meets several of them in a row.
-    /// Charged for these, an organisation runs out of retries while a target that could answer
-    /// stands idle.
+    /// When many targets die at once, each request tries several of them in a row. If these
+    /// attempts counted, an organisation would run out of retries while a target that could answer
+    /// is idle.
     pub fn refund(&mut self, organisation: &OrganisationName) {
-        if let Some(saved) = self.saved.get_mut(organisation) {
-            *saved = (*saved + 1.0).min(MOST_SAVED);
+        if let Some(balance) = self.balances.get_mut(organisation) {
+            *balance = (*balance + 1.0).min(MAX_SAVED_RETRIES);
         }
     }
 
-    /// Forgets organisations that are not in `keep`.
+    /// Removes the budgets of organisations for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&OrganisationName) -> bool) {
-        self.saved.retain(|name, _| keep(name));
+        self.balances.retain(|name, _| keep(name));
     }
 }
