--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,14 +1,15 @@
-//! The decisions on every request, as tables and systems over them. No I/O, and time comes in as
-//! an argument, so the same code runs in a daemon, in tests under a paused clock and in
-//! simulations.
+//! Routing decisions of an entry for each request. The code does no I/O and takes the time as an
+//! argument, so it runs unchanged in a daemon, in tests under a paused clock and in simulations.
 //!
-//! - [`TargetTable`]: what is known of each target, and which one a request goes to.
-//! - [`AdmissionTable`]: organisations' shares of what this entry may have in progress.
-//! - [`RetryBudget`]: how many requests may be sent again.
-//! - [`PrefixIndex`]: which target probably has a prompt's beginning in its cache.
+//! - [`TargetTable`]: state of each target, and the choice of a target for a request.
+//! - [`AdmissionTable`]: shares of organisations in the requests that this entry may have in
+//!   progress.
+//! - [`RetryBudget`]: how many retries each organisation may use.
+//! - [`PrefixIndex`]: which targets probably hold the prefix of a prompt in their caches.
 //!
-//! Decisions are taken when a request arrives or ends. Ticks do only what time does: rows expire,
-//! ejections end, budgets refill.
+//! Decisions are made when a request arrives or ends. The `tick` methods only remove rows that are
+//! no longer needed. Ejections end by the time passed in, and retry budgets refill with each
+//! request.
 
 mod admission;
 mod prefix;
