--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -1,5 +1,6 @@
-//! Scripted scenarios: data files in `tests/scenarios`, one harness. Each file tells one line of
-//! what fails, over the pure state machines and under a clock that the script advances.
+//! Scripted scenarios. Each file in `tests/scenarios` is a sequence of commands with their recorded
+//! output. The commands cause failures in state machines without I/O, under a clock that the script
+//! advances.
 
 mod group_script;
 mod routing_script;
@@ -8,13 +9,13 @@
 use goldenscript::{Command, Runner};
 use std::error::Error;
 
-/// A command's number argument.
+/// Value of a command's argument `name` as a number.
 pub(crate) fn number(command: &Command, name: &str) -> Result<u64, Box<dyn Error>> {
-    let found = text(command, name)?;
-    found.parse().map_err(|_| format!("{name} is not a number: {found}").into())
+    let value = text(command, name)?;
+    value.parse().map_err(|_| format!("{name} is not a number: {value}").into())
 }
 
-/// A command's number argument, or what it is if absent.
+/// Value of a command's argument `name` as a number, or `default` if it is absent.
 pub(crate) fn number_or(
     command: &Command,
     name: &str,
@@ -26,15 +27,15 @@
     }
 }
 
-/// A command's text argument.
+/// Value of a command's argument `name`.
 pub(crate) fn text(command: &Command, name: &str) -> Result<String, Box<dyn Error>> {
-    let found = command.consume_args().take_key(name).map(str::to_owned);
-    found.ok_or_else(|| format!("{name}= is missing").into())
+    let value = command.consume_args().take_key(name).map(str::to_owned);
+    value.ok_or_else(|| format!("argument {name}= is missing").into())
 }
 
 fn run<R: Runner>(runner: &mut R, file: &str) {
     let path = format!("{}/tests/scenarios/{file}", env!("CARGO_MANIFEST_DIR"));
-    goldenscript::run(runner, path).expect("the script's output is as recorded");
+    goldenscript::run(runner, path).expect("the script's output matches the recorded output");
 }
 
 #[test]
--- a/tests/all/scenarios/routing_script.rs
+++ b/tests/all/scenarios/routing_script.rs
@@ -1,4 +1,4 @@
-//! Commands over one entry's table of targets.
+//! Script commands that drive the target table of one entry.
 
 use super::{number, number_or, text};
 use egretseam_proto::{
@@ -13,7 +13,7 @@
 
 type Output = Result<String, Box<dyn Error>>;
 
-/// A table and the time.
+/// A target table, and the time as advanced by the script.
 pub(super) struct RoutingScript {
     table: TargetTable,
     now: Duration,
@@ -33,7 +33,7 @@
             "serving" => TargetState::Serving,
             "leaving" => TargetState::Leaving,
             "switching" => TargetState::Switching,
-            other => return Err(format!("no state {other}").into()),
+            other => return Err(format!("unknown target state {other}").into()),
         };
         self.sequence += 1;
         let version = VersionName::try_from("v1")?;
@@ -56,7 +56,8 @@
         Ok(String::new())
     }
 
-    /// Chooses many times, each request ending at once, and counts where they went.
+    /// Chooses a target for each of `requests` requests, none of which stays in progress, and
+    /// counts the choices by target.
     fn spread(&mut self, command: &Command) -> Output {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for _ in 0..number(command, "requests")? {
@@ -90,7 +91,8 @@
     fn fail(&mut self, command: &Command) -> Output {
         let target = InstanceName::try_from(text(command, "target")?)?;
         let reason = text(command, "reason")?;
-        let reason: RefusalReason = reason.parse().map_err(|()| format!("no reason {reason}"))?;
+        let reason: RefusalReason =
+            reason.parse().map_err(|()| format!("unknown refusal reason {reason}"))?;
         self.table.record_start(&target);
         self.table.record_end(&target, RequestOutcome::Failed(reason), self.now);
         Ok(String::new())
@@ -109,7 +111,7 @@
                 self.now += Duration::from_millis(number(command, "millis")?);
                 self.table.tick(self.now);
             }
-            other => return Err(format!("no command {other}").into()),
+            other => return Err(format!("unknown command {other}").into()),
         }
         Ok(String::new())
     }
