--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -1,7 +1,7 @@
 //! The pure decision core of one member.
 //!
 //! A driver repeats: feed inputs, [`ReplicaNode::take_output`], send `send_now`, write and sync
-//! `writes`, [`ReplicaNode::synced`], send `send_after_sync`, apply `committed`. Between
+//! `writes`, [`ReplicaNode::record_sync`], send `send_after_sync`, apply `committed`. Between
 //! `take_output` and `synced` it feeds nothing; inputs that arrive meanwhile wait and form the next
 //! batch, which is where group commit comes from.
 
@@ -18,7 +18,7 @@
     membership::{MemberId, Membership},
     message::{
         EntryPayload, Envelope, GroupId, HardState, LogEntry, LogIndex, LogWrite, Message,
-        ReadGrant, ReadToken, SnapshotImage, Term,
+        ReadOutcome, ReadToken, SnapshotImage, Term,
     },
     node::{follower::IncomingSnapshot, leader::LeaderState},
     store::{MemberIdentity, RecoveredState},
@@ -73,14 +73,14 @@
         seed: u64,
     ) -> Self {
         let table = LogTable::new(state.snapshot, state.entries);
-        let commit = state.commit.min(table.last_index()).max(table.snapshot().index);
+        let commit = state.commit_index.min(table.last_index()).max(table.snapshot().index);
         let mut node = Self {
             id: identity.id,
             config,
             now: Duration::ZERO,
             random: election::spread_seed(seed, identity.id),
-            hard: state.hard,
-            group: state.hard.group.or(identity.group),
+            hard: state.hard_state,
+            group: state.hard_state.group.or(identity.group),
             commit,
             commit_noted: commit,
             handed: table.snapshot().index,
@@ -146,9 +146,9 @@
             role,
             term: self.hard.term,
             leader: self.leader(),
-            commit: self.commit,
-            last: self.table.last_index(),
-            first: self.table.first_index(),
+            commit_index: self.commit,
+            last_index: self.table.last_index(),
+            first_index: self.table.first_index(),
             membership: self.table.membership().clone(),
             progress: self.progress(),
         }
@@ -213,13 +213,13 @@
         Ok((self.hard.term, self.append_own(EntryPayload::Command(command))))
     }
 
-    /// Asks for a confirmed read; a [`ReadGrant`] with `token` follows in some later output, or
+    /// Asks for a confirmed read; a [`ReadOutcome`] with `token` follows in some later output, or
     /// nothing if a message is lost.
     pub fn read(&mut self, token: ReadToken) {
         match self.leader() {
             Some(leader) if leader == self.id => self.queue_read(self.id, token),
             Some(leader) => self.send_now(leader, Message::Read { token }),
-            None => self.output.reads.push(ReadGrant { token, index: None }),
+            None => self.output.reads.push(ReadOutcome { token, index: None }),
         }
     }
 
@@ -231,7 +231,7 @@
         let Some(term) = self.table.term_at(index) else { return };
         let membership = self.table.membership_at(index).clone();
         let image = SnapshotImage { index, term, membership, data };
-        self.table.install(image.clone());
+        self.table.install_snapshot(image.clone());
         self.output.writes.push(LogWrite::Snapshot { image, keep_tail: true });
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// Tells the node that every write of the last output is on disk.
-    pub fn synced(&mut self) {
+    pub fn record_sync(&mut self) {
         self.synced = self.table.last_index();
         if let Role::Candidate { grants } = &mut self.role {
             // The own vote counts only now: counted earlier, a crash could forget it and the
@@ -316,7 +316,7 @@
                 self.send_now(from, Message::ReadReply { token, index: None });
             }
             Message::ReadReply { token, index } => {
-                self.output.reads.push(ReadGrant { token, index });
+                self.output.reads.push(ReadOutcome { token, index });
             }
             Message::TimeoutNow if current => self.campaign(),
             Message::NotMember => self.note_removed(),
@@ -382,7 +382,7 @@
 
     fn answer_read(&mut self, from: MemberId, token: ReadToken, index: Option<LogIndex>) {
         if from == self.id {
-            self.output.reads.push(ReadGrant { token, index });
+            self.output.reads.push(ReadOutcome { token, index });
         } else {
             self.send_now(from, Message::ReadReply { token, index });
         }
--- a/crates/replica/src/node/leader.rs
+++ b/crates/replica/src/node/leader.rs
@@ -111,7 +111,8 @@
                 return Err(ProposeError::NotCaughtUp);
             }
         }
-        let next = self.table.membership().changed(change).ok_or(ProposeError::InvalidChange)?;
+        let next =
+            self.table.membership().with_change(change).ok_or(ProposeError::InvalidChange)?;
         if self.table.last_index().0 - self.commit.0 >= MAX_UNCOMMITTED {
             return Err(ProposeError::Busy);
         }
@@ -124,7 +125,7 @@
         let Role::Leader(state) = &self.role else { return Vec::new() };
         let view = |(id, peer): (&MemberId, &PeerProgress)| MemberProgress {
             id: *id,
-            matched: peer.matched,
+            match_index: peer.matched,
             silent_for: self.now.saturating_sub(peer.acked_at),
         };
         state.peers.iter().map(view).collect()
@@ -339,7 +340,7 @@
         let entries = if blocked {
             Vec::new()
         } else {
-            self.table.slice(peer.next, self.config.max_append_bytes)
+            self.table.entries_from(peer.next, self.config.max_append_bytes)
         };
         // A peer that has everything is told of a commitment at once: its followers wait for that word
         // to apply a change. Told by the next heartbeat only, those who follow such a member had a
--- a/crates/replica/tests/founding.rs
+++ b/crates/replica/tests/founding.rs
@@ -13,14 +13,15 @@
         if !output.writes.is_empty() {
             store.write(&output.writes).expect("the folder takes writes");
         }
-        node.synced();
+        node.record_sync();
     }
 }
 
 #[test]
 fn a_founder_leads_alone_and_again_after_a_restart() {
     let folder = tempfile::tempdir().expect("a folder");
-    LogStore::found(folder.path(), MemberId(7), GroupId(1), "a", "127.0.0.1:1").expect("founded");
+    LogStore::bootstrap(folder.path(), MemberId(7), GroupId(1), "a", "127.0.0.1:1")
+        .expect("founded");
     for _ in 0..2 {
         let (mut store, identity, state) = LogStore::open(folder.path()).expect("opened");
         let mut node = ReplicaNode::new(&identity, state, ReplicaConfig::default(), 1);
@@ -29,6 +30,6 @@
         assert!(node.is_leader());
         node.propose(vec![1, 2, 3]).expect("a leader takes proposals");
         settle(&mut node, &mut store);
-        assert_eq!(node.status().commit, node.status().last);
+        assert_eq!(node.status().commit_index, node.status().last_index);
     }
 }
--- a/crates/testkit/src/group.rs
+++ b/crates/testkit/src/group.rs
@@ -54,13 +54,14 @@
 impl GroupSim {
     /// A group of `voters` members that all start with the same founding snapshot.
     pub fn new(voters: usize, config: ReplicaConfig) -> Self {
-        let mut membership = Membership::founding(record(0));
+        let mut membership = Membership::single_voter(record(0));
         for number in 1..voters {
             let id = member_id(number);
-            let added = membership.changed(&MembershipChange::AddLearner(record(number)));
+            let added = membership.with_change(&MembershipChange::AddLearner(record(number)));
             membership = added.expect("a new member");
-            membership =
-                membership.changed(&MembershipChange::Promote(id)).expect("a learner to promote");
+            membership = membership
+                .with_change(&MembershipChange::Promote(id))
+                .expect("a learner to promote");
         }
         let mut sim = Self {
             config,
@@ -75,7 +76,7 @@
         };
         for number in 0..voters {
             let disk = RecoveredState {
-                hard: HardState { group: Some(GROUP), term: Term(1), voted_for: None },
+                hard_state: HardState { group: Some(GROUP), term: Term(1), voted_for: None },
                 snapshot: SnapshotImage {
                     index: LogIndex(1),
                     term: Term(1),
@@ -83,7 +84,7 @@
                     data: Vec::new(),
                 },
                 entries: Vec::new(),
-                commit: LogIndex(1),
+                commit_index: LogIndex(1),
             };
             sim.push_member(number, Some(GROUP), disk);
         }
@@ -390,7 +391,7 @@
             replay(&mut member.disk, write);
         }
         if let Some(node) = member.node.as_mut() {
-            node.synced();
+            node.record_sync();
         }
         self.network.extend(output.send_after_sync);
         if let Some(image) = output.restore {
@@ -401,12 +402,12 @@
         for entry in output.committed {
             self.apply(number, &entry);
         }
-        for grant in output.reads {
-            let Some((accepted, result)) = self.reads.get_mut(&grant.token.0) else { continue };
-            if let Some(index) = grant.index {
+        for outcome in output.reads {
+            let Some((accepted, result)) = self.reads.get_mut(&outcome.token.0) else { continue };
+            if let Some(index) = outcome.index {
                 assert!(index >= *accepted, "a read was confirmed behind what was accepted");
             }
-            *result = Some(grant.index);
+            *result = Some(outcome.index);
         }
     }
 
