--- a/crates/bench/src/slopes/configurations.rs
+++ b/crates/bench/src/slopes/configurations.rs
@@ -42,14 +42,14 @@
 
 /// Bytes of a whole configuration in the log, by routes.
 pub(super) fn whole_bytes() -> anyhow::Result<SlopeRow> {
-    let packed = |size| PackedDocument::whole(&text(1, size, 0)).size();
+    let packed = |size| PackedDocument::full(&text(1, size, 0)).size();
     let points = SIZES.iter().map(|size| (*size as f64, packed(*size) as f64));
     Ok(SlopeRow::new("route of a configuration sent whole", "bytes", points.collect()))
 }
 
 /// Bytes of a change in the log, by routes that it changes.
 pub(super) fn log_bytes() -> anyhow::Result<SlopeRow> {
-    let packed = |changed| PackedDocument::difference(&text(2, 1_700, changed), &text(1, 1_700, 0));
+    let packed = |changed| PackedDocument::delta(&text(2, 1_700, changed), &text(1, 1_700, 0));
     let points = CHANGED.iter().map(|changed| (*changed as f64, packed(*changed).size() as f64));
     Ok(SlopeRow::new("changed route among 1,700, in the log", "bytes", points.collect()))
 }
@@ -96,7 +96,7 @@
     for size in SIZES {
         let [former, newer] = [text(1, size, 0), text(2, size, 1)];
         let time = mean_micros(|| {
-            PackedDocument::difference(&newer, &former);
+            PackedDocument::delta(&newer, &former);
             Ok(())
         })?;
         points.push((size as f64, time));
@@ -109,8 +109,8 @@
     let mut points = Vec::new();
     for size in SIZES {
         let [former, newer] = [encoded(1, size, 0)?, encoded(2, size, 1)?];
-        let whole = PackedDocument::whole(&former);
-        let difference = PackedDocument::difference(&newer, &former);
+        let whole = PackedDocument::full(&former);
+        let difference = PackedDocument::delta(&newer, &former);
         let mut spent = 0.0;
         for _ in 0..REPEATS {
             let mut holder = ConfigHolder::default();
--- a/crates/catalog/src/serving.rs
+++ b/crates/catalog/src/serving.rs
@@ -27,12 +27,12 @@
 impl ServingChange {
     /// A change with the full document, which any member can apply.
     pub fn full(version: u64, content: &[u8]) -> Self {
-        Self { version, content: PackedDocument::whole(content) }
+        Self { version, content: PackedDocument::full(content) }
     }
 
     /// A change with the delta from `base`, for members that hold `base`.
     pub fn delta_from(base: &ServingDocument, version: u64, content: &[u8]) -> Self {
-        Self { version, content: PackedDocument::difference(content, &base.content) }
+        Self { version, content: PackedDocument::delta(content, &base.content) }
     }
 
     /// The document that results from applying the change to `held`.
@@ -56,7 +56,7 @@
         content: &[u8],
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
-        PackedDocument::whole(content).serialize(serializer)
+        PackedDocument::full(content).serialize(serializer)
     }
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(
--- a/crates/delta/src/history.rs
+++ b/crates/delta/src/history.rs
@@ -61,10 +61,10 @@
         let former = self.former.iter().find(|former| Some(former.version) == held);
         let Some(former) = former else {
             let mut whole = self.whole.borrow_mut();
-            return Some(whole.get_or_insert_with(|| PackedDocument::whole(content)).clone());
+            return Some(whole.get_or_insert_with(|| PackedDocument::full(content)).clone());
         };
         let mut difference = former.difference.borrow_mut();
-        let make = || PackedDocument::difference(content, &former.content);
+        let make = || PackedDocument::delta(content, &former.content);
         Some(difference.get_or_insert_with(make).clone())
     }
 }
--- a/crates/delta/src/lib.rs
+++ b/crates/delta/src/lib.rs
@@ -14,5 +14,5 @@
 
 pub use crate::{
     history::DocumentHistory,
-    packed::{DocumentDigest, MAX_DOCUMENT, PackedDocument, UnpackError},
+    packed::{DocumentDigest, MAX_DOCUMENT_BYTES, PackedDocument, UnpackError},
 };
--- a/crates/delta/src/packed.rs
+++ b/crates/delta/src/packed.rs
@@ -8,7 +8,7 @@
 
 /// Largest document in bytes, as long as the largest call that a control member takes. Bounds what a
 /// frame may ask a receiver to allocate.
-pub const MAX_DOCUMENT: usize = 16 * 1024 * 1024;
+pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
 /// Zstandard level. One changed route among 1,700 takes 32 bytes for entries at this level and 1,935
 /// at the default 3, which misses the long match; level 9 is no smaller and takes three times as long.
 const LEVEL: i32 = 5;
@@ -32,16 +32,16 @@
 pub enum UnpackError {
     /// It is a difference from a document that is not held here; the whole is needed.
     #[error("it is a difference from a document that is not held here")]
-    OtherBase,
+    BaseMismatch,
     /// It is larger than any proper document.
     #[error("{0} bytes are more than a document may have")]
     TooLarge(usize),
     /// It is not a Zstandard frame.
     #[error("it cannot be decompressed: {0}")]
-    Unreadable(#[from] io::Error),
+    Decompress(#[from] io::Error),
     /// What it restores to is not what was packed.
     #[error("what it restores to has another digest")]
-    OtherContent,
+    DigestMismatch,
 }
 
 /// A document, compressed whole or as the difference from another one.
@@ -59,12 +59,12 @@
 
 impl PackedDocument {
     /// Packs a whole document.
-    pub fn whole(content: &[u8]) -> Self {
+    pub fn full(content: &[u8]) -> Self {
         Self::pack(content, None)
     }
 
     /// Packs the difference from `base`.
-    pub fn difference(content: &[u8], base: &[u8]) -> Self {
+    pub fn delta(content: &[u8], base: &[u8]) -> Self {
         Self::pack(content, Some(base))
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Whether it can be restored without another document.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.base.is_none()
     }
 
@@ -97,14 +97,14 @@
             None => &[],
             Some(digest) => base
                 .filter(|base| DocumentDigest::of(base) == digest)
-                .ok_or(UnpackError::OtherBase)?,
+                .ok_or(UnpackError::BaseMismatch)?,
         };
-        if self.length > MAX_DOCUMENT {
+        if self.length > MAX_DOCUMENT_BYTES {
             return Err(UnpackError::TooLarge(self.length));
         }
         let content = decompress(&self.frame, prefix, self.length)?;
         if DocumentDigest::of(&content) != self.digest {
-            return Err(UnpackError::OtherContent);
+            return Err(UnpackError::DigestMismatch);
         }
         Ok(content)
     }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -281,7 +281,7 @@
         version,
         routes = config.routes.len(),
         bytes = packed.size(),
-        whole = packed.is_whole(),
+        whole = packed.is_full(),
         "configuration in force"
     );
     shared.metrics.config_version.set(config.version as i64);
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -1,7 +1,7 @@
 //! Hearing from control how busy targets are, and passing it on within the availability zone.
 
 use crate::{place, shared::GatewayShared};
-use egretseam_rpc::{LoadDatagram, MAX_DATAGRAM};
+use egretseam_rpc::{LoadDatagram, MAX_DATAGRAM_BYTES};
 use std::{
     net::SocketAddr,
     rc::{Rc, Weak},
@@ -17,7 +17,7 @@
 
 /// Takes datagrams in for as long as the entry lives.
 pub(crate) async fn hear(shared: Weak<GatewayShared>, socket: UdpSocket) {
-    let mut buffer = [0; MAX_DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let received = socket.recv_from(&mut buffer).await;
         let Some(shared) = shared.upgrade() else { return };
--- a/crates/registrar/src/feed.rs
+++ b/crates/registrar/src/feed.rs
@@ -168,7 +168,7 @@
     };
     let packed = packed?;
     let metrics = &shared.metrics;
-    let sent = if packed.is_whole() { &metrics.configs_whole } else { &metrics.configs_difference };
+    let sent = if packed.is_full() { &metrics.configs_whole } else { &metrics.configs_difference };
     sent.inc();
     Some(packed)
 }
--- a/crates/registrar/src/loads.rs
+++ b/crates/registrar/src/loads.rs
@@ -3,7 +3,7 @@
 //! entries speak to each other one by one, and a member's bytes grow with the zones, not the entries.
 
 use crate::shared::RegistrarShared;
-use egretseam_rpc::{BusyTarget, LoadDatagram, MAX_DATAGRAM, MAX_SAMPLES};
+use egretseam_rpc::{LoadDatagram, MAX_DATAGRAM_BYTES, MAX_SAMPLES, TargetLoad};
 use indexmap::IndexMap;
 use std::{
     net::SocketAddr,
@@ -24,7 +24,7 @@
     let mut due = Instant::now() + GATHER;
     // Members begin with different entries.
     let mut round: usize = rand::random_range(0..FIRST_ROUNDS);
-    let mut buffer = [0; MAX_DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let received = tokio::time::timeout_at(due, socket.recv_from(&mut buffer)).await;
         let Some(shared) = shared.upgrade() else { return };
@@ -58,8 +58,8 @@
     gathered: &mut IndexMap<SocketAddr, u16>,
     round: usize,
 ) {
-    let samples: Vec<BusyTarget> =
-        gathered.drain(..).map(|(address, busy)| BusyTarget { address, busy }).collect();
+    let samples: Vec<TargetLoad> =
+        gathered.drain(..).map(|(address, busy)| TargetLoad { address, busy }).collect();
     let entries: Vec<SocketAddr> = {
         let entries = shared.entries.borrow();
         let port = shared.options.load_port;
--- a/crates/registrar/src/plans.rs
+++ b/crates/registrar/src/plans.rs
@@ -115,7 +115,7 @@
         version,
         origin: origin.address,
         origin_zone: origin.zone.clone(),
-        may_cut: may_cut(config, service),
+        may_preempt: may_cut(config, service),
     })
 }
 
--- a/crates/rpc/src/feed.rs
+++ b/crates/rpc/src/feed.rs
@@ -103,7 +103,8 @@
     pub origin_zone: ZoneName,
     /// Whether every request that may run there can go on elsewhere, so that engines may cut their
     /// requests off to take new weights.
-    pub may_cut: bool,
+    #[serde(rename = "may_cut")]
+    pub may_preempt: bool,
 }
 
 /// Answers an agent.
@@ -149,7 +150,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartReceipt {
     /// Whether both agents are in one availability zone.
-    pub is_near: bool,
+    #[serde(rename = "is_near")]
+    pub is_same_zone: bool,
     /// Its number among those that the giver gave to near or to far agents.
     pub number: u64,
 }
@@ -166,7 +168,8 @@
     /// Longest part that is wanted, in bytes.
     pub length: u64,
     /// Whether both agents are in one availability zone.
-    pub is_near: bool,
+    #[serde(rename = "is_near")]
+    pub is_same_zone: bool,
     /// Receipt of the part that came before, unless its giver knows.
     pub receipt: Option<PartReceipt>,
 }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -28,7 +28,7 @@
         VersionDigests, WeightsKey, WeightsPlan,
     },
     link::{CallError, ChunkLink, ControlLink, EntryLink, FeedLink, LinkOptions},
-    loads::{BusyTarget, LoadDatagram, MAX_DATAGRAM, MAX_SAMPLES},
+    loads::{LoadDatagram, MAX_DATAGRAM_BYTES, MAX_SAMPLES, TargetLoad},
     preface::PeerSecret,
     server::{RpcOptions, RpcServer, serve_chunks, serve_control, serve_entry, serve_feed},
     wire::{
--- a/crates/rpc/src/loads.rs
+++ b/crates/rpc/src/loads.rs
@@ -8,11 +8,11 @@
 /// Most samples in one datagram, so that it fits into one packet.
 pub const MAX_SAMPLES: usize = 96;
 /// Largest datagram.
-pub const MAX_DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// How busy one target is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BusyTarget {
+pub struct TargetLoad {
     /// The target's address.
     pub address: SocketAddr,
     /// Requests that it runs or has waiting.
@@ -27,12 +27,12 @@
     /// Whether the entry that gets it passes it on to the others of its availability zone.
     pub for_zone: bool,
     /// Samples.
-    pub samples: Vec<BusyTarget>,
+    pub samples: Vec<TargetLoad>,
 }
 
 impl LoadDatagram {
     /// The bytes of a datagram with these samples, for one process alone or for its whole zone.
-    pub fn encode(secret: &PeerSecret, for_zone: bool, samples: &[BusyTarget]) -> Vec<u8> {
+    pub fn encode(secret: &PeerSecret, for_zone: bool, samples: &[TargetLoad]) -> Vec<u8> {
         let datagram = Self { tag: secret.datagram_tag(), for_zone, samples: samples.to_vec() };
         postcard::to_stdvec(&datagram).expect("in-memory encoding does not fail")
     }
--- a/crates/stager/src/chunks.rs
+++ b/crates/stager/src/chunks.rs
@@ -266,7 +266,7 @@
         let wanted = usize::try_from(call.length).unwrap_or(length);
         let bytes = chunk.slice(start..start.saturating_add(wanted).min(length));
         let began = Instant::now();
-        let receipt = self.shared.uploads.acquire(call.is_near, bytes.len()).await;
+        let receipt = self.shared.uploads.acquire(call.is_same_zone, bytes.len()).await;
         Some(PartReply {
             bytes,
             chunk_bytes: length as u64,
--- a/crates/stager/src/downloads.rs
+++ b/crates/stager/src/downloads.rs
@@ -145,7 +145,7 @@
             chunk: source.chunk,
             start,
             length: PART_BYTES,
-            is_near: source.is_same_zone,
+            is_same_zone: source.is_same_zone,
             receipt,
         };
         let reply = source.link.part(call).await.map_err(PartError::Call)?;
--- a/crates/stager/src/loads.rs
+++ b/crates/stager/src/loads.rs
@@ -1,7 +1,7 @@
 //! Sends the engine's load to control, which passes it on, so that entries need not estimate it.
 
 use crate::shared::StagerShared;
-use egretseam_rpc::{BusyTarget, LoadDatagram};
+use egretseam_rpc::{LoadDatagram, TargetLoad};
 use std::{net::SocketAddr, rc::Weak, time::Duration};
 use tokio::{net::UdpSocket, time::Instant};
 
@@ -32,7 +32,7 @@
         if !is_due {
             continue;
         }
-        let sample = BusyTarget { address: shared.options.target, busy };
+        let sample = TargetLoad { address: shared.options.target, busy };
         let bytes = LoadDatagram::encode(&shared.options.secret, false, &[sample]);
         match socket.send_to(&bytes, member).await {
             Ok(_) => last = Some((busy, Instant::now())),
--- a/crates/stager/src/older.rs
+++ b/crates/stager/src/older.rs
@@ -126,7 +126,7 @@
             let timing = shared.options.switch_timing;
             let drain_until =
                 older.published_at + timing.staleness_bound.saturating_sub(timing.reserve / 2);
-            if switch::load(&shared, &older.key, plan.plan.may_cut, drain_until).await {
+            if switch::load(&shared, &older.key, plan.plan.may_preempt, drain_until).await {
                 *shared.superseded_loaded.borrow_mut() = Some(older);
             }
         }
--- a/crates/stager/src/reconcile.rs
+++ b/crates/stager/src/reconcile.rs
@@ -84,7 +84,7 @@
     let timing = shared.options.switch_timing;
     let drain_until =
         staleness_start(shared, wanted) + timing.staleness_bound.saturating_sub(timing.reserve / 2);
-    switch::load(shared, key, wanted.plan.may_cut, drain_until).await;
+    switch::load(shared, key, wanted.plan.may_preempt, drain_until).await;
 }
 
 /// Finds the digests of a version and reads back the chunks of it that are already staged.
--- a/crates/stager/src/switch.rs
+++ b/crates/stager/src/switch.rs
@@ -118,7 +118,7 @@
         }
         let outstanding = shared.orders.borrow().outstanding();
         if let Some(outstanding) = outstanding {
-            let preempt = shared.plan.borrow().as_ref().is_some_and(|held| held.plan.may_cut);
+            let preempt = shared.plan.borrow().as_ref().is_some_and(|held| held.plan.may_preempt);
             resend(&shared, &outstanding, preempt, Instant::now() + DRAIN_TIMEOUT).await;
         }
     }
--- a/crates/stager/src/uploads.rs
+++ b/crates/stager/src/uploads.rs
@@ -77,12 +77,12 @@
         while !parts.borrow().window.has_room() {
             self.room_changed.notified().await;
         }
-        PartReceipt { is_near: is_same_zone, number: parts.borrow_mut().begin(Instant::now()) }
+        PartReceipt { is_same_zone, number: parts.borrow_mut().begin(Instant::now()) }
     }
 
     /// Records that a part has arrived.
     pub(crate) fn record_receipt(&self, receipt: PartReceipt) {
-        self.parts(receipt.is_near).borrow_mut().end(receipt.number, Instant::now());
+        self.parts(receipt.is_same_zone).borrow_mut().end(receipt.number, Instant::now());
         self.room_changed.notify_waiters();
     }
 
--- a/tests/all/fleet/narrow_link.rs
+++ b/tests/all/fleet/narrow_link.rs
@@ -108,7 +108,7 @@
             version: None,
             origin: self.origin,
             origin_zone: zone(),
-            may_cut: true,
+            may_preempt: true,
         }
     }
 }
--- a/tests/all/fleet/receipts.rs
+++ b/tests/all/fleet/receipts.rs
@@ -40,7 +40,7 @@
         let mut count = self.count.borrow_mut();
         *count += 1;
         self.sent_at.borrow_mut().insert(*count, Instant::now());
-        PartReceipt { is_near: true, number: *count }
+        PartReceipt { is_same_zone: true, number: *count }
     }
 
     /// Whether the receipt of some part is overdue.
--- a/tests/all/serving_documents.rs
+++ b/tests/all/serving_documents.rs
@@ -66,9 +66,9 @@
 fn a_change_of_one_route_among_many_is_packed_below_500_bytes() {
     let before = large_config(1, ROUTES, 1_000).to_string();
     let after = large_config(2, ROUTES, 2_000).to_string();
-    let difference = PackedDocument::difference(after.as_bytes(), before.as_bytes());
+    let difference = PackedDocument::delta(after.as_bytes(), before.as_bytes());
     assert!(difference.size() < 500, "{} bytes", difference.size());
-    let complete = PackedDocument::whole(after.as_bytes());
+    let complete = PackedDocument::full(after.as_bytes());
     assert!(complete.size() * 10 < after.len(), "{} of {} bytes", complete.size(), after.len());
     let unpacked = difference.unpack(Some(before.as_bytes())).expect("the right base");
     assert_eq!(unpacked, after.as_bytes());
@@ -76,9 +76,9 @@
 
 #[test]
 fn a_difference_from_another_document_is_detected() {
-    let difference = PackedDocument::difference(b"second", b"first");
-    assert!(matches!(difference.unpack(Some(b"third")), Err(UnpackError::OtherBase)));
-    assert!(matches!(difference.unpack(None), Err(UnpackError::OtherBase)));
+    let difference = PackedDocument::delta(b"second", b"first");
+    assert!(matches!(difference.unpack(Some(b"third")), Err(UnpackError::BaseMismatch)));
+    assert!(matches!(difference.unpack(None), Err(UnpackError::BaseMismatch)));
 }
 
 /// Guards against a configuration that mixes two changes. Two operators change it concurrently, and
@@ -138,20 +138,20 @@
 fn an_entry_with_another_base_requests_the_complete_configuration() {
     let mut holder = ConfigHolder::default();
     assert_eq!(holder.next_request(0), ConfigRequest::Whole);
-    let applied = holder.apply(0, 1, &PackedDocument::whole(&document(1))).expect("complete");
+    let applied = holder.apply(0, 1, &PackedDocument::full(&document(1))).expect("complete");
     assert_eq!(applied.expect("newer").version, 1);
     assert_eq!(holder.next_request(1), ConfigRequest::Number);
     assert_eq!(holder.next_request(3), ConfigRequest::Difference);
 
-    let foreign = PackedDocument::difference(&document(3), &document(9));
+    let foreign = PackedDocument::delta(&document(3), &document(9));
     let failed = holder.apply(1, 3, &foreign);
-    assert!(matches!(failed, Err(ConfigApplyError::Unpack(UnpackError::OtherBase))));
+    assert!(matches!(failed, Err(ConfigApplyError::Unpack(UnpackError::BaseMismatch))));
     assert_eq!(holder.version(), 1, "nothing is applied");
     assert_eq!(holder.next_request(3), ConfigRequest::Whole);
     holder.apply(1, 3, &member_history([3]).packed_for(None).expect("complete")).expect("applied");
     assert_eq!((holder.version(), holder.next_request(3)), (3, ConfigRequest::Number));
 
-    let outdated = PackedDocument::difference(&document(4), &document(1));
+    let outdated = PackedDocument::delta(&document(4), &document(1));
     assert!(holder.apply(1, 4, &outdated).is_err(), "its base is the version held at the request");
     assert_eq!(holder.next_request(4), ConfigRequest::Difference);
 }
@@ -161,10 +161,10 @@
 fn a_member_computes_differences_from_a_few_earlier_versions_only() {
     let history = member_history(1..=12);
     let from = |held| history.packed_for(held).expect("a document");
-    assert!(!from(Some(11)).is_whole());
-    assert!(from(Some(2)).is_whole());
-    assert!(from(None).is_whole());
-    assert!(from(Some(NEWEST_VERSION)).is_whole(), "a version that the member never had");
+    assert!(!from(Some(11)).is_full());
+    assert!(from(Some(2)).is_full());
+    assert!(from(None).is_full());
+    assert!(from(Some(NEWEST_VERSION)).is_full(), "a version that the member never had");
     assert!(member_history([]).packed_for(None).is_none());
 }
 
@@ -195,15 +195,15 @@
     ) {
         let mut document = base[..kept.min(base.len())].to_vec();
         document.extend(&content);
-        let difference = PackedDocument::difference(&document, &base);
+        let difference = PackedDocument::delta(&document, &base);
         prop_assert_eq!(difference.unpack(Some(&base)).expect("the right base"), document.clone());
-        prop_assert_eq!(PackedDocument::whole(&document).unpack(None).expect("complete"), document);
+        prop_assert_eq!(PackedDocument::full(&document).unpack(None).expect("complete"), document);
     }
 
     /// A corrupted frame never unpacks to a wrong document.
     #[test]
     fn a_corrupted_frame_is_rejected(at in 0..200_usize, with in 1..=255_u8) {
-        let packed = PackedDocument::difference(&document(2), &document(1));
+        let packed = PackedDocument::delta(&document(2), &document(1));
         let mut bytes = postcard::to_stdvec(&packed).expect("in memory");
         let at = at % bytes.len();
         bytes[at] ^= with;
@@ -318,7 +318,7 @@
         .collect();
     let complete = longest_event_seconds(documents[1..].iter().map(Vec::len));
     let differences = documents.windows(2).map(|pair| {
-        let packed = PackedDocument::difference(&pair[1], &pair[0]);
+        let packed = PackedDocument::delta(&pair[1], &pair[0]);
         postcard::to_stdvec(&packed).expect("in memory").len()
     });
     let difference = longest_event_seconds(differences);
