--- a/crates/delta/src/packed.rs
+++ b/crates/delta/src/packed.rs
@@ -1,4 +1,4 @@
-//! One document, packed.
+//! A document in packed form: compressed, in full or as a delta.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -6,13 +6,15 @@
 use thiserror::Error;
 use zstd::stream::{read::Decoder, write::Encoder};
 
-/// Largest document in bytes, as long as the largest call that a control member takes. Bounds what a
-/// frame may ask a receiver to allocate.
+/// Largest document in bytes, equal to the largest request that a control member accepts. Bounds the
+/// memory that a receiver allocates for a frame.
 pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
-/// Zstandard level. One changed route among 1,700 takes 32 bytes for entries at this level and 1,935
-/// at the default 3, which misses the long match; level 9 is no smaller and takes three times as long.
-const LEVEL: i32 = 5;
-/// Smallest and largest window that Zstandard takes without being asked, as powers of two.
+/// At this level, the delta that entries receive for one changed route among 1,700 takes 32 bytes. The
+/// default level 3 misses the long match and takes 1,935 bytes; level 9 saves nothing and takes three
+/// times as long.
+const ZSTD_LEVEL: i32 = 5;
+/// Base-2 logarithms of the smallest and largest window size in bytes that Zstandard decoders accept
+/// by default.
 const MIN_WINDOW_LOG: u32 = 10;
 const MAX_WINDOW_LOG: u32 = 27;
 
@@ -27,43 +29,43 @@
     }
 }
 
-/// Why a packed document cannot be restored.
+/// Why a packed document cannot be unpacked.
 #[derive(Debug, Error)]
 pub enum UnpackError {
-    /// It is a difference from a document that is not held here; the whole is needed.
-    #[error("it is a difference from a document that is not held here")]
+    /// The document is a delta from a base other than the one given; the full document is needed.
+    #[error("the document is a delta from a base that is not held here")]
     BaseMismatch,
-    /// It is larger than any proper document.
-    #[error("{0} bytes are more than a document may have")]
+    /// The document exceeds [`MAX_DOCUMENT_BYTES`].
+    #[error("document too large: {0} bytes, at most {MAX_DOCUMENT_BYTES} are allowed")]
     TooLarge(usize),
-    /// It is not a Zstandard frame.
-    #[error("it cannot be decompressed: {0}")]
+    /// The Zstandard frame is invalid.
+    #[error("document cannot be decompressed: {0}")]
     Decompress(#[from] io::Error),
-    /// What it restores to is not what was packed.
-    #[error("what it restores to has another digest")]
+    /// The unpacked bytes do not match the document's digest.
+    #[error("the digest of the unpacked document does not match")]
     DigestMismatch,
 }
 
-/// A document, compressed whole or as the difference from another one.
+/// A document, compressed in full or as the delta from a base document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedDocument {
-    /// The document that it is a difference from; `None` if it is whole.
+    /// Digest of the base; `None` for a full document.
     base: Option<DocumentDigest>,
-    /// Digest of the document.
+    /// Digest of the unpacked document.
     digest: DocumentDigest,
-    /// Length of the document in bytes.
+    /// Length of the unpacked document in bytes.
     length: usize,
-    /// Zstandard frame.
+    /// Zstandard frame with the base as its prefix.
     frame: Bytes,
 }
 
 impl PackedDocument {
-    /// Packs a whole document.
+    /// Packs the full document.
     pub fn full(content: &[u8]) -> Self {
         Self::pack(content, None)
     }
 
-    /// Packs the difference from `base`.
+    /// Packs the delta from `base` to `content`.
     pub fn delta(content: &[u8], base: &[u8]) -> Self {
         Self::pack(content, Some(base))
     }
@@ -78,17 +80,17 @@
         }
     }
 
-    /// Whether it can be restored without another document.
+    /// Whether it can be unpacked without a base.
     pub fn is_full(&self) -> bool {
         self.base.is_none()
     }
 
-    /// Bytes that it takes on a link, within some tens.
+    /// Approximate size on a link in bytes: that of the frame, without some tens for the other fields.
     pub fn size(&self) -> usize {
         self.frame.len()
     }
 
-    /// Restores the document, with the help of `base` if it is a difference.
+    /// Restores the document; a delta needs its `base`.
     ///
     /// # Errors
     /// See [`UnpackError`].
@@ -110,21 +112,21 @@
     }
 }
 
-/// The window must reach from the document's end back to the beginning of the prefix, or what the
-/// two share is not found.
+/// The window must reach from the end of the document back to the start of the prefix, or matches
+/// between the two are not found.
 fn window_log(length: usize) -> u32 {
     length.next_power_of_two().ilog2().clamp(MIN_WINDOW_LOG, MAX_WINDOW_LOG)
 }
 
 fn compress(content: &[u8], prefix: &[u8]) -> io::Result<Vec<u8>> {
-    let mut encoder = Encoder::with_ref_prefix(Vec::new(), LEVEL, prefix)?;
+    let mut encoder = Encoder::with_ref_prefix(Vec::new(), ZSTD_LEVEL, prefix)?;
     encoder.window_log(window_log(content.len() + prefix.len()))?;
     encoder.set_pledged_src_size(Some(content.len() as u64))?;
     encoder.write_all(content)?;
     encoder.finish()
 }
 
-/// Reads no more than one byte beyond `length`, so that a damaged frame cannot fill the memory.
+/// Reads at most one byte beyond `length`, so that a corrupted frame cannot exhaust memory.
 fn decompress(frame: &[u8], prefix: &[u8], length: usize) -> io::Result<Vec<u8>> {
     let decoder = Decoder::with_ref_prefix(frame, prefix)?;
     let mut content = Vec::with_capacity(length);
--- a/crates/proto/src/digest.rs
+++ b/crates/proto/src/digest.rs
@@ -7,7 +7,7 @@
 /// Length of a BLAKE3 digest in bytes.
 const DIGEST_BYTES: usize = 32;
 
-/// A digest that was not 64 hexadecimal digits.
+/// The text of a digest is not 64 hexadecimal digits.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("expected {} hexadecimal digits of a BLAKE3 digest", DIGEST_BYTES * 2)]
 pub struct DigestError;
@@ -73,8 +73,8 @@
 }
 
 digest! {
-    /// Digest over the digests of all chunks of a version, in their sequence: what a version without
-    /// a manifest is made of.
+    /// Digest over the digests of all chunks of a version, in chunk order. Identifies the content of a
+    /// version that has no manifest.
     ContentDigest
 }
 
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,8 +1,8 @@
-//! Vocabulary shared by every egretseam process: checked names, numbers that order events, weight
-//! digests, and the verdict that says whether a request may have run.
+//! Types shared by all egretseam processes: validated names, numbers that order events, digests of
+//! weights, and the verdict that says whether a request may have run.
 //!
-//! The crate holds no I/O and no policy. Anything that two crates must agree on to talk to each
-//! other lives here, so that a daemon never needs to depend on another daemon's crate for a type.
+//! The crate contains no I/O and no policy. It defines the types that two daemons must agree on, so
+//! that no daemon depends on another daemon's crate for a type.
 
 mod digest;
 mod name;
@@ -21,25 +21,26 @@
     verdict::{FailureReport, RefusalReason, RequestVerdict},
 };
 
-/// Header that carries the [`RequestVerdict`] on every failed answer.
+/// Header that carries the [`RequestVerdict`] on every failure response.
 pub const VERDICT_HEADER: &str = "egretseam-verdict";
-/// Header that carries the [`RefusalReason`]'s slug on every failed answer of ours.
+/// Header that carries the slug of the [`RefusalReason`] on every failure response that an egretseam
+/// process makes itself.
 pub const REASON_HEADER: &str = "egretseam-reason";
-/// Header that carries one request's id through every hop.
+/// Header that carries the request's id through every hop.
 pub const REQUEST_ID_HEADER: &str = "egretseam-request-id";
-/// Header by which an entry states the configuration revision that it routed by.
+/// Header with the configuration revision by which the entry routed the request.
 pub const REVISION_HEADER: &str = "egretseam-revision";
-/// Header by which an entry names the agent run (incarnation) a request is meant for.
+/// Header with the incarnation of the agent that the entry sends the request to.
 pub const INCARNATION_HEADER: &str = "egretseam-incarnation";
-/// Header that names the weight version an answer must come from or did come from.
+/// Header with the version of the weights: on a request the required one, on a response the one used.
 pub const VERSION_HEADER: &str = "egretseam-version";
-/// Header that carries the milliseconds a caller still waits for its answer.
+/// Header with the milliseconds that the caller still waits for the response.
 pub const DEADLINE_HEADER: &str = "egretseam-deadline-ms";
-/// Header by which a caller marks a request that must not be repeated.
+/// Header with the caller's idempotency key: a request with this key must not run more than once.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 /// Header that names the organisation on the hop from entry to agent.
 pub const ORGANISATION_HEADER: &str = "egretseam-organisation";
-/// Header by which an agent certifies that it refused a key and will never run it.
+/// Header by which an agent guarantees that it rejected an idempotency key and will never run it.
 pub const KEY_REFUSED_HEADER: &str = "egretseam-key-refused";
-/// Header with the number of events of a stream that the caller already has.
+/// Header with the number of events of the stream that the caller already has.
 pub const RESUME_HEADER: &str = "egretseam-resume-offset";
--- a/crates/proto/src/name.rs
+++ b/crates/proto/src/name.rs
@@ -1,5 +1,5 @@
-//! Checked names. Every name that reaches the state machine or a URL passed through here, so that
-//! no later code needs to escape or re-check one.
+//! Validated names. Every name in the catalog's state or in a URL has one of these types, so that no
+//! other code needs to escape or validate it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -10,7 +10,7 @@
 /// Longest accepted idempotency key in bytes.
 const MAX_KEY_BYTES: usize = 128;
 
-/// A name that is empty, too long, or holds a character outside its alphabet.
+/// A name is empty, too long, or contains a character outside its alphabet.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{kind} {text:?}: expected 1 to {limit} characters of {alphabet}")]
 pub struct NameError {
@@ -94,7 +94,7 @@
 }
 
 name! {
-    /// A named profile: which model and version a group of targets should hold.
+    /// A profile: the model and version that a group of targets should serve.
     ProfileName, "profile", MAX_NAME_BYTES, "a-z A-Z 0-9 . _ -", is_plain
 }
 name! {
@@ -102,11 +102,11 @@
     ServiceName, "service", MAX_NAME_BYTES, "a-z A-Z 0-9 . _ -", is_plain
 }
 name! {
-    /// One instance of ours, or the target beside it.
+    /// An instance, or the target on it.
     InstanceName, "instance", MAX_NAME_BYTES, "a-z A-Z 0-9 . _ -", is_plain
 }
 name! {
-    /// A group of targets that one profile governs.
+    /// A group of targets governed by one profile.
     GroupName, "group", MAX_NAME_BYTES, "a-z A-Z 0-9 . _ -", is_plain
 }
 name! {
@@ -114,7 +114,7 @@
     ZoneName, "availability zone", MAX_NAME_BYTES, "a-z A-Z 0-9 . _ -", is_plain
 }
 name! {
-    /// A customer of the co-operative, found by its API key.
+    /// A customer, identified by its API keys.
     OrganisationName, "organisation", MAX_NAME_BYTES, "a-z A-Z 0-9 . _ -", is_plain
 }
 name! {
@@ -122,10 +122,10 @@
     ModelName, "model", MAX_NAME_BYTES, "a-z A-Z 0-9 . _ -", is_plain
 }
 name! {
-    /// A version of a model as the origin names it.
+    /// A version of a model, as named by the origin.
     VersionName, "version", MAX_NAME_BYTES, "a-z A-Z 0-9 . _ -", is_plain
 }
 name! {
-    /// A caller's key for a request that must not be repeated, unique within its organisation.
+    /// A caller's idempotency key, unique within its organisation.
     RequestKey, "idempotency key", MAX_KEY_BYTES, "visible ASCII", |c| c.is_ascii_graphic()
 }
--- a/crates/proto/src/number.rs
+++ b/crates/proto/src/number.rs
@@ -1,5 +1,5 @@
-//! Numbers that order events. Each is a newtype so that a revision can never be compared with a
-//! fencing number by accident.
+//! Numbers that identify and order events. Each is a newtype so that, for example, a revision cannot
+//! be compared with a fencing number by accident.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -22,29 +22,31 @@
 }
 
 number! {
-    /// Position in the order of accepted configuration changes; 0 before the first.
+    /// Position in the sequence of committed configuration changes; 0 before the first.
     Revision, u64
 }
 number! {
-    /// Strictly growing number of an order to one target; an engine that checks refuses lower ones.
+    /// Strictly increasing number of an order to one target. An engine that checks it rejects orders
+    /// with lower numbers.
     FencingNumber, u64
 }
 number! {
-    /// Number that tells one run of a process from its earlier and later runs: the milliseconds of
-    /// its start by its own wall clock, then sixteen random bits. Later runs compare higher as long
-    /// as that clock does not go back.
+    /// One life of a process under its name: the Unix time of its start in milliseconds by its own
+    /// wall clock, then 16 random bits. Later incarnations compare higher as long as that clock does
+    /// not go back.
     Incarnation, u64
 }
 number! {
-    /// Random number an operator's tool draws once per change, so that a resend is recognised.
+    /// Random number that an operator's tool generates once per change, so that a retry is
+    /// recognised.
     OperationId, u64
 }
 
 impl Incarnation {
-    /// The number of a run that starts now; `random` supplies the low bits.
+    /// The incarnation of a process that starts now; `random` supplies the low 16 bits.
     pub fn starting(random: u16) -> Self {
-        let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        let millis = since.map_or(0, |since| since.as_millis() as u64);
+        let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+        let millis = since_epoch.map_or(0, |duration| duration.as_millis() as u64);
         Self(millis << 16 | u64::from(random))
     }
 }
--- a/crates/proto/src/target.rs
+++ b/crates/proto/src/target.rs
@@ -1,19 +1,19 @@
-//! What agents tell entries about targets.
+//! Reports of agents to entries about their targets.
 
 use crate::{GroupName, Incarnation, InstanceName, ManifestId, VersionName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// What a target does, by its agent's account.
+/// State of a target, as its agent reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetState {
-    /// Holds nothing that could serve yet.
+    /// Not yet able to serve: the weights to serve from are not loaded.
     Preparing,
     /// Admits requests.
     Serving,
-    /// Finishes what it has before a switch, or loads.
+    /// Finishes its requests before it switches to another version, or loads that version.
     Switching,
-    /// Finishes what it has and stops.
+    /// Finishes its requests and stops.
     Leaving,
 }
 
@@ -22,37 +22,38 @@
 pub struct ServingVersion {
     /// The version's name.
     pub version: VersionName,
-    /// Its exact bytes.
+    /// Manifest that identifies its exact bytes.
     pub manifest: ManifestId,
 }
 
-/// One agent's account of its target.
+/// An agent's report about its target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetReport {
     /// The target.
     pub target: InstanceName,
-    /// Run of its agent.
+    /// Incarnation of its agent.
     pub incarnation: Incarnation,
     /// Availability zone.
     pub zone: ZoneName,
-    /// Group, which finds its profile.
+    /// Group, which determines the profile.
     pub group: GroupName,
     /// `host:port` of the agent's gate for requests.
     pub address: String,
-    /// `host:port` at which the agent gives chunks to peers.
+    /// `host:port` at which the agent serves chunks to peers.
     pub chunk_address: String,
     /// State.
     pub state: TargetState,
-    /// Weights served from; none for plain services and before the first load.
+    /// Weights that the target serves from; `None` for plain services and before the first load.
     pub serving: Option<ServingVersion>,
     /// Requests in progress behind the gate.
     pub in_flight: u32,
-    /// Load as the engine last reported it, in requests; lags.
+    /// Requests running or waiting in the engine, by its last report; lags behind.
     pub engine_load: u32,
-    /// Chunks present of the version being fetched.
+    /// Chunks of the version being fetched that are present.
     pub chunks_have: u32,
-    /// Chunks of the version being fetched.
+    /// Total chunks of the version being fetched.
     pub chunks_total: u32,
-    /// Grows with every report of one run, so that a late one is not taken for news.
+    /// Increases with every report of one incarnation, so that entries ignore reports that arrive
+    /// late.
     pub sequence: u64,
 }
--- a/crates/proto/src/verdict.rs
+++ b/crates/proto/src/verdict.rs
@@ -1,9 +1,9 @@
-//! What a failed answer says about the request: whether it ran, why it failed, and when to retry.
+//! What a failure response says about the request: whether it ran, why it failed, and when to retry.
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, str::FromStr};
 
-/// Whether a request's effects may exist. Only `NotRun`, or an idempotent request, may be retried.
+/// Whether a request may have taken effect. It may be retried only if it is `NotRun` or idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestVerdict {
@@ -11,7 +11,7 @@
     NotRun,
     /// The request was sent and its outcome is unknown.
     MayHaveRun,
-    /// The target answered.
+    /// The target responded.
     Ran,
 }
 
@@ -47,7 +47,7 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $variant:ident, $slug:literal, $status:literal, $retry:expr, $title:literal;)*) => {
-        /// Why a request or call was refused or failed. Each has its own counter label.
+        /// Why a request or call was rejected or failed. Each reason has its own label in the counters.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "kebab-case")]
         pub enum RefusalReason {
@@ -63,17 +63,17 @@
                 match self { $(Self::$variant => $slug,)* }
             }
 
-            /// HTTP status of an answer refused for this reason.
+            /// HTTP status of the response to a request that failed for this reason.
             pub fn status(self) -> u16 {
                 match self { $(Self::$variant => $status,)* }
             }
 
-            /// Seconds after which a retry may succeed, where a retry helps at all.
+            /// Seconds after which a retry may succeed; `None` if a retry cannot help.
             pub fn retry_after_seconds(self) -> Option<u64> {
                 match self { $(Self::$variant => $retry,)* }
             }
 
-            /// One line for a person.
+            /// Human-readable summary in one line.
             pub fn title(self) -> &'static str {
                 match self { $(Self::$variant => $title,)* }
             }
@@ -92,27 +92,27 @@
     MethodNotAllowed, "method-not-allowed", 405, None, "The path does not take this method.";
     /// The body is larger than the limit.
     BodyTooLarge, "body-too-large", 413, None, "The body exceeds the limit.";
-    /// The same key was used for a different request.
+    /// The idempotency key was used for a different request.
     KeyReused, "key-reused", 422, None, "The idempotency key belongs to a different request.";
     /// The change was based on an older revision.
     Conflict, "conflict", 409, None, "The change was based on an older revision.";
-    /// The organisation used up its share.
+    /// The organisation already has its share of requests in progress.
     OverShare, "over-share", 429, Some(1), "The organisation is over its share.";
     /// Every target of the service is at its limit.
     Overloaded, "overloaded", 503, Some(1), "All targets are at their limit.";
-    /// No target of the service is in service.
+    /// The service has no target in service.
     NoTarget, "no-target", 503, Some(1), "No target is in service.";
-    /// The configuration lease ran out, so routing by it could be outdated.
+    /// The configuration lease expired, so the entry's routing could be outdated.
     LeaseExpired, "lease-expired", 503, Some(2), "This address cannot confirm its configuration; use another.";
     /// This process is stopping.
     Stopping, "stopping", 503, Some(1), "This address is stopping; use another.";
-    /// The target is leaving or switching its version.
+    /// The target does not admit requests: it is leaving, switching its version, or preparing.
     Leaving, "leaving", 503, Some(1), "The target is leaving.";
-    /// The target holds another version than the request was routed for.
+    /// The target serves another version than the request was routed for.
     VersionMismatch, "version-mismatch", 503, Some(1), "The target holds another version.";
     /// The request was routed by an outdated revision.
     OutdatedRevision, "outdated-revision", 503, Some(1), "The request was routed by an outdated configuration.";
-    /// The request was meant for an earlier run of the agent.
+    /// The request was meant for another incarnation of the agent.
     OtherIncarnation, "other-incarnation", 503, Some(1), "The request was meant for an earlier run of this agent.";
     /// The deadline passed, or too little of it is left.
     DeadlineExceeded, "deadline-exceeded", 504, Some(1), "The deadline cannot be met.";
@@ -120,7 +120,7 @@
     ConnectFailed, "connect-failed", 502, Some(1), "The target could not be reached.";
     /// The connection broke after the request was sent.
     BrokenAnswer, "broken-answer", 502, Some(1), "The answer broke off.";
-    /// An earlier send of the same key has an unknown outcome.
+    /// An earlier attempt with the same key has an unknown outcome.
     OutcomeUnknown, "outcome-unknown", 409, None, "An earlier send of this key may have run.";
     /// The retry budget is used up.
     RetryBudget, "retry-budget", 503, Some(2), "The retry budget is used up.";
@@ -142,24 +142,24 @@
     }
 }
 
-/// A failure with its verdict: the error type of every step between caller and engine.
+/// A failure with its verdict: the error type of each step between caller and engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureReport {
-    /// Why.
+    /// Reason of the failure.
     pub reason: RefusalReason,
     /// Whether the request may have run.
     pub verdict: RequestVerdict,
-    /// What happened, for a person; never holds a key or token.
+    /// Human-readable description; never contains a key or token.
     pub detail: String,
 }
 
 impl FailureReport {
-    /// A failure before anything was run.
+    /// A failure of a request that certainly did not run.
     pub fn not_run(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self { reason, verdict: RequestVerdict::NotRun, detail: detail.into() }
     }
 
-    /// A failure after the request was sent.
+    /// A failure after the request was sent, so that it may have run.
     pub fn may_have_run(reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self { reason, verdict: RequestVerdict::MayHaveRun, detail: detail.into() }
     }
