--- a/crates/rpc/src/feed.rs
+++ b/crates/rpc/src/feed.rs
@@ -1,4 +1,4 @@
-//! What control members, entries and agents of a fleet without gates tell each other.
+//! Messages between control members, entries and agents of a fleet without gates.
 
 use bytes::Bytes;
 use egretseam_delta::PackedDocument;
@@ -12,50 +12,52 @@
 /// Who reads a feed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedReader {
-    /// An entry, with what callers may be told of it.
+    /// An entry, with the record from which callers learn of it.
     Entry(EntryRecord),
     /// Another control member.
     Member,
 }
 
-/// Asks a control member for what is new.
+/// Asks a control member for changes: a long poll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedCall {
-    /// Who asks.
+    /// The reader that makes the call.
     pub reader: FeedReader,
-    /// Run of the member that the numbers below were learned from; another run starts anew.
+    /// Incarnation of the member that gave out `targets_seen` and `roster_seen`. Another
+    /// incarnation ignores these and replies with everything.
     pub run: u64,
-    /// Number of the latest change of targets that the reader has.
+    /// Number of the latest change of targets that the reader has received.
     pub targets_seen: u64,
-    /// Number of the latest roster that the reader has.
+    /// Number of the latest roster that the reader has received; `u64::MAX` if it wants none, which
+    /// holds for any incarnation.
     pub roster_seen: u64,
-    /// Version of the serving configuration that the reader has.
+    /// Version of the serving configuration that the reader holds.
     pub config_held: u64,
-    /// What the reader wants of a newer configuration.
+    /// What the reader requests of a newer configuration.
     pub config_wish: ConfigRequest,
-    /// How long the answer may wait for news.
+    /// Milliseconds that the reply may wait for a change.
     pub wait_millis: u64,
 }
 
-/// What changes seldom: sent whole when any of it has changed.
+/// State that changes rarely: sent in full when any part of it has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedRoster {
-    /// Number.
+    /// Number of this roster; a newer one has a higher number.
     pub number: u64,
-    /// Entries that this member hears of.
+    /// Entries that read this member's feed.
     pub entries: Vec<EntryRecord>,
     /// `host:port` of the feeds of all control members that this one knows.
     pub members: Vec<String>,
-    /// Named versions.
+    /// Published versions of the weights.
     pub versions: Vec<PublishedVersion>,
 }
 
-/// What is new.
+/// Answers a feed call with the changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedReply {
-    /// Run of the answering member.
+    /// Incarnation of the answering member.
     pub run: u64,
-    /// Number of the latest change of targets in this answer.
+    /// Number of the latest change of targets in this reply.
     pub targets_seen: u64,
     /// Targets that changed.
     pub targets: Vec<TargetStatus>,
@@ -67,77 +69,78 @@
     pub roster: Option<FeedRoster>,
     /// Version of the serving configuration that this member has applied.
     pub config_version: u64,
-    /// The encoded configuration, if it is newer than the reader's and wanted.
+    /// The encoded configuration, if it is newer than the reader's and was requested.
     pub config: Option<PackedDocument>,
 }
 
-/// An agent's account of its engine, and its question for what to fetch.
+/// An agent's report of its engine, and its request for the weights to fetch: a long poll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentCall {
-    /// Address of the target beside the agent.
+    /// Address of the target on the agent's instance.
     pub target: SocketAddr,
-    /// Its service.
+    /// Service of the target.
     pub service: ServiceName,
-    /// What the agent sees of the engine, if anything is known.
+    /// Status of the engine, if known.
     pub engine: Option<EngineStatus>,
-    /// Run of the member that `seen` was learned from.
+    /// Incarnation of the member that gave out `seen` and `peers_seen`.
     pub run: u64,
-    /// Number of the plan that the agent has.
+    /// Number of the plan that the agent has received.
     pub seen: u64,
-    /// Number of the latest change of its peers that the agent has.
+    /// Number of the latest change of peers that the agent has received.
     pub peers_seen: u64,
-    /// How long the answer may wait for news.
+    /// Milliseconds that the reply may wait for a change.
     pub wait_millis: u64,
 }
 
-/// What an agent is to bring to its engine.
+/// The weights that an agent must fetch and have its engine load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsPlan {
     /// The model.
     pub model: ModelName,
-    /// The newest named version; `None` if none was named yet.
+    /// The newest published version; `None` if none has been published.
     pub version: Option<PublishedVersion>,
     /// Address of the origin.
     pub origin: SocketAddr,
     /// Availability zone of the origin.
     pub origin_zone: ZoneName,
-    /// Whether every request that may run there can go on elsewhere, so that engines may cut their
-    /// requests off to take new weights.
+    /// Whether engines may abort running requests to load new weights: every route to the service
+    /// lets its requests continue at another target.
     #[serde(rename = "may_cut")]
     pub may_preempt: bool,
 }
 
-/// Answers an agent.
+/// Answers an agent's call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentReply {
-    /// Run of the answering member.
+    /// Incarnation of the answering member.
     pub run: u64,
     /// Number of the plan.
     pub seen: u64,
     /// The plan, if it changed and there is one.
     pub plan: Option<WeightsPlan>,
-    /// Number of the latest change of peers.
+    /// Number of the latest change of peers in this reply.
     pub peers_seen: u64,
-    /// What is new among the live targets of the service.
+    /// Changes among the live targets of the service.
     pub peers: Vec<PeerUpdate>,
     /// `host:port` of the feeds of all control members.
     pub members: Vec<String>,
 }
 
-/// Calls that a control member answers to entries, agents and other members.
+/// Calls of entries, agents and other members to a control member.
 #[tarpc::service]
 pub trait FeedService {
-    /// Waits for news.
+    /// Returns changes; waits for one if there is none.
     async fn feed(call: FeedCall) -> FeedReply;
-    /// Takes an agent's account and waits for news of its plan.
+    /// Applies an agent's report and returns its plan and peers; waits for a change of these.
     async fn agent(call: AgentCall) -> AgentReply;
-    /// Notes durably what a version is made of; returns whether it is noted.
+    /// Commits the content digest of a version to the replicated log; returns whether it is
+    /// recorded.
     async fn note_content(key: WeightsKey, digest: ContentDigest) -> bool;
-    /// The version of a model that is made of this, as far as this member knows.
+    /// The version of a model with this content digest, if this member knows one.
     async fn version_of(model: ModelName, digest: ContentDigest) -> Option<u64>;
 }
 
-/// Weights that peers exchange.
+/// Identifies weights that agents exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WeightsKey {
     /// The model.
@@ -146,54 +149,55 @@
     pub version: u64,
 }
 
-/// A part that was given; its giver is told once it has arrived.
+/// Identifies a part that was sent. The receiver returns it once the part has arrived, so that the
+/// sender knows which parts are in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartReceipt {
     /// Whether both agents are in one availability zone.
     #[serde(rename = "is_near")]
     pub is_same_zone: bool,
-    /// Its number among those that the giver gave to near or to far agents.
+    /// Number of the part among those that the sender sent within its zone, or to other zones.
     pub number: u64,
 }
 
-/// Asks for a part of a chunk.
+/// Requests a part of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartCall {
     /// The weights.
     pub key: WeightsKey,
-    /// Number of the chunk.
+    /// Index of the chunk.
     pub chunk: u32,
-    /// Where the part begins, in bytes.
+    /// Offset of the part in the chunk, in bytes.
     pub start: u64,
-    /// Longest part that is wanted, in bytes.
+    /// Maximum length of the part in bytes.
     pub length: u64,
     /// Whether both agents are in one availability zone.
     #[serde(rename = "is_near")]
     pub is_same_zone: bool,
-    /// Receipt of the part that came before, unless its giver knows.
+    /// Receipt of the previous part, unless it has already been acknowledged.
     pub receipt: Option<PartReceipt>,
 }
 
 /// A part of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartReply {
-    /// The part.
+    /// Content of the part.
     pub bytes: Bytes,
-    /// Size of the whole chunk.
+    /// Size of the complete chunk in bytes.
     pub chunk_bytes: u64,
-    /// Milliseconds that it waited for its turn on the giver's link; the rest of the time that a
-    /// fetch took went to the network.
+    /// Milliseconds that the part waited for its turn on the sender's link. The rest of the time
+    /// that the download took was spent on the network.
     pub queued_millis: u64,
-    /// What the giver is to be told once the part has arrived.
+    /// Receipt that the receiver returns once the part has arrived.
     pub receipt: PartReceipt,
 }
 
-/// What an agent has of a version.
+/// The chunks that an agent has of a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldReply {
-    /// Its chunks, as a bitmap's text.
+    /// Bitmap of the chunks, as text.
     pub chunks: String,
-    /// Whether the origin did not answer it when it last fetched from there.
+    /// Whether the origin did not answer the agent's last fetch.
     pub origin_lost: bool,
 }
 
@@ -202,25 +206,27 @@
 pub struct VersionDigests {
     /// The version.
     pub version: u64,
-    /// Of all chunks, in their sequence.
+    /// Digests of all chunks, in chunk order.
     pub digests: Vec<[u8; 32]>,
 }
 
-/// Calls that an agent answers to other agents.
+/// Calls of agents to another agent.
 #[tarpc::service]
 pub trait ChunkService {
-    /// The chunks that the agent has, once they are more than `known` or
-    /// `wait_millis` have passed; `None` if it knows nothing of those weights.
+    /// The chunks that the agent has, once there are more than `known` or `wait_millis` have
+    /// passed; `None` if it does not keep chunks of these weights.
     async fn held(key: WeightsKey, known: u32, wait_millis: u64) -> Option<HeldReply>;
     /// The digests of all chunks, once the agent knows them or, if `settled` is set, has had all
-    /// chunks for some seconds; `None` after `wait_millis` without.
+    /// chunks for some seconds; `None` if that does not happen within `wait_millis`.
     async fn digests(key: WeightsKey, settled: bool, wait_millis: u64) -> Option<Vec<[u8; 32]>>;
-    /// Versions of a model of whose chunks at least one has the digest that stands in its place.
+    /// Versions of a model that have at least one of these digests at the same index.
     async fn versions_like(model: ModelName, digests: Vec<[u8; 32]>) -> Vec<VersionDigests>;
-    /// A part of a chunk, once the agent's link has room for it; `None` if the chunk is not there.
+    /// A part of a chunk, once the agent's link has room for it; `None` if the agent does not have
+    /// the chunk.
     async fn part(call: PartCall) -> Option<PartReply>;
-    /// Notes that a part has arrived after which no other is asked for at once.
+    /// Acknowledges a part when no request for another part follows at once that could carry the
+    /// receipt.
     async fn received(receipt: PartReceipt);
-    /// Answers at once, so that the caller knows how long that takes.
+    /// Replies immediately, so that the caller can measure the round-trip time.
     async fn echo();
 }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,16 +1,17 @@
-//! The calls between our own processes, over `tarpc`.
+//! RPC between egretseam processes, over `tarpc`.
 //!
-//! Every call has a deadline, every frame a length limit, every connection a bound on calls in
-//! progress. A connection opens with a preface derived from the shared peer token; whoever cannot
-//! send it is closed before a frame is read.
+//! Every call has a deadline, every frame a length limit, and every connection a limit on calls in
+//! progress. A connection starts with a preface derived from the shared peer token; a connection
+//! without it is closed before any frame is read.
 //!
-//! Three relations exist: control members with each other ([`ControlService::deliver`]), entries
-//! with control ([`ControlService::submit`], [`ControlService::watch`]), and agents with entries
-//! ([`EntryService`]). Agents behind gates never speak to control: at 12,000 targets their calls
-//! would exceed what a control member may spend, while each entry carries the few dozen that report
-//! to it. A fleet without gates has two relations more: [`FeedService`], by which control passes
-//! news of targets on, and [`ChunkService`], by which agents exchange weights. How busy targets are
-//! goes from agents to control and on to entries in datagrams ([`LoadDatagram`]).
+//! Control members call each other ([`ControlService::deliver`]), entries call control
+//! ([`ControlService::submit`], [`ControlService::watch`]), and agents call entries
+//! ([`EntryService`]). Agents with a gate never call control: with 12,000 targets, their calls
+//! would exceed the resources of a control member, while each entry serves only the few dozen
+//! agents that report to it. A fleet without gates has two more services: [`FeedService`], by which
+//! control publishes changes of targets, and [`ChunkService`], by which agents exchange weights.
+//! The loads of targets go from agents to control and from there to entries in datagrams
+//! ([`LoadDatagram`]).
 
 mod control_client;
 mod feed;
--- a/crates/rpc/src/link.rs
+++ b/crates/rpc/src/link.rs
@@ -1,4 +1,4 @@
-//! Client ends: one connection to one address, made on demand and remade after it breaks.
+//! Clients of one address: a connection is opened on demand and reopened after a failure.
 
 use crate::{
     feed::{
@@ -33,41 +33,41 @@
 /// Why a call has no reply.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection; the call was certainly not made.
+    /// No connection could be opened, so the call was not sent.
     #[error("connect to {address}: {source}")]
     Connect {
-        /// Whom.
+        /// Address of the other end.
         address: String,
-        /// Why not.
+        /// Cause.
         source: io::Error,
     },
-    /// The connection broke or the deadline passed; the call may have been carried out.
+    /// The connection broke or the deadline passed; the call may have run.
     #[error("call to {address}: {source}")]
     Call {
-        /// Whom.
+        /// Address of the other end.
         address: String,
-        /// What broke.
+        /// Cause.
         source: RpcError,
     },
 }
 
 impl CallError {
-    /// Whether the callee may have carried out the call.
+    /// Whether the call may have run at the other end.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Call { .. })
     }
 }
 
-/// Limits of a client end.
+/// Limits of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkOptions {
-    /// How long a connection may take.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// How long a call may take, besides the time it asks the callee to wait.
+    /// Timeout of a call, in addition to the time that it asks the other end to wait.
     pub call_timeout: Duration,
     /// Largest frame in bytes.
     pub max_frame_bytes: usize,
-    /// Most calls waiting on the connection.
+    /// Maximum number of calls in flight, and of calls queued, on the connection.
     pub max_calls: usize,
 }
 
@@ -96,13 +96,13 @@
     let open = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        secret.offer(&mut stream).await?;
+        secret.send_preface(&mut stream).await?;
         Ok(stream)
     };
-    let opened = tokio::time::timeout(options.connect_timeout, open).await;
-    let opened = opened.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
+    let result = tokio::time::timeout(options.connect_timeout, open).await;
+    let result = result.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
     let stream =
-        opened.map_err(|source| CallError::Connect { address: address.to_owned(), source })?;
+        result.map_err(|source| CallError::Connect { address: address.to_owned(), source })?;
     let framed = Framed::new(stream, codec(options.max_frame_bytes));
     Ok(tarpc::serde_transport::new(framed, Bincode::default()))
 }
@@ -119,13 +119,13 @@
         }
 
         impl $name {
-            /// A link to `host:port`; connects with the first call.
+            /// A link to `host:port`; connects on the first call.
             pub fn new(address: &str, secret: PeerSecret, options: LinkOptions) -> Self {
                 let address = address.to_owned();
                 Self { address, secret, options, client: RefCell::new(None) }
             }
 
-            /// The other end.
+            /// Address of the other end.
             pub fn address(&self) -> &str {
                 &self.address
             }
@@ -154,10 +154,11 @@
                 context
             }
 
-            fn settle<T>(&self, result: Result<T, RpcError>) -> Result<T, CallError> {
+            fn drop_on_error<T>(&self, result: Result<T, RpcError>) -> Result<T, CallError> {
                 result.map_err(|source| {
-                    // Any failure drops the connection, also a deadline: a peer behind a silent
-                    // cut looks exactly like that, and only a new connection finds it again.
+                    // Any failure drops the connection, including a missed deadline: a peer that a
+                    // network failure cut off silently shows nothing else, and only a new
+                    // connection can reach it again.
                     self.client.borrow_mut().take();
                     CallError::Call { address: self.address.clone(), source }
                 })
@@ -180,7 +181,7 @@
     FeedLink, FeedServiceClient
 }
 link! {
-    /// Calls to one agent's chunks.
+    /// Calls to one agent's chunk service.
     ChunkLink, ChunkServiceClient
 }
 
@@ -193,7 +194,7 @@
         let client = self.client().await?;
         let wait = Duration::from_millis(call.wait_millis);
         let reply = client.feed(self.context(wait), call).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::FeedService::agent`].
@@ -204,7 +205,7 @@
         let client = self.client().await?;
         let wait = Duration::from_millis(call.wait_millis);
         let reply = client.agent(self.context(wait), call).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::FeedService::note_content`].
@@ -218,7 +219,7 @@
     ) -> Result<bool, CallError> {
         let client = self.client().await?;
         let reply = client.note_content(self.context(Duration::ZERO), key, digest).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::FeedService::version_of`].
@@ -232,7 +233,7 @@
     ) -> Result<Option<u64>, CallError> {
         let client = self.client().await?;
         let reply = client.version_of(self.context(Duration::ZERO), model, digest).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 }
 
@@ -250,7 +251,7 @@
         let client = self.client().await?;
         let wait_millis = wait.as_millis() as u64;
         let reply = client.held(self.context(wait), key, known, wait_millis).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ChunkService::digests`].
@@ -266,7 +267,7 @@
         let client = self.client().await?;
         let wait_millis = wait.as_millis() as u64;
         let reply = client.digests(self.context(wait), key, settled, wait_millis).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ChunkService::versions_like`].
@@ -280,7 +281,7 @@
     ) -> Result<Vec<VersionDigests>, CallError> {
         let client = self.client().await?;
         let reply = client.versions_like(self.context(Duration::ZERO), model, digests).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ChunkService::echo`].
@@ -290,7 +291,7 @@
     pub async fn echo(&self) -> Result<(), CallError> {
         let client = self.client().await?;
         let reply = client.echo(self.context(Duration::ZERO)).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ChunkService::part`].
@@ -300,7 +301,7 @@
     pub async fn part(&self, call: PartCall) -> Result<Option<PartReply>, CallError> {
         let client = self.client().await?;
         let reply = client.part(self.context(Duration::ZERO), call).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ChunkService::received`].
@@ -310,7 +311,7 @@
     pub async fn received(&self, receipt: PartReceipt) -> Result<(), CallError> {
         let client = self.client().await?;
         let reply = client.received(self.context(Duration::ZERO), receipt).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 }
 
@@ -322,7 +323,7 @@
     pub async fn deliver(&self, reply_to: &str, batch: Vec<Envelope>) -> Result<(), CallError> {
         let client = self.client().await?;
         let reply = client.deliver(self.context(Duration::ZERO), reply_to.to_owned(), batch).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ControlService::submit`].
@@ -332,7 +333,7 @@
     pub async fn submit(&self, command: CatalogCommand) -> Result<SubmitReply, CallError> {
         let client = self.client().await?;
         let reply = client.submit(self.context(Duration::ZERO), command).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ControlService::watch`].
@@ -343,7 +344,7 @@
         let client = self.client().await?;
         let wait = Duration::from_millis(call.wait_millis);
         let reply = client.watch(self.context(wait), call).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ControlService::note_watchers`].
@@ -353,7 +354,7 @@
     pub async fn note_watchers(&self, reports: Vec<WatcherReport>) -> Result<(), CallError> {
         let client = self.client().await?;
         let reply = client.note_watchers(self.context(Duration::ZERO), reports).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ControlService::change_members`].
@@ -363,7 +364,7 @@
     pub async fn change_members(&self, call: MemberCall) -> Result<MemberReply, CallError> {
         let client = self.client().await?;
         let reply = client.change_members(self.context(Duration::ZERO), call).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ControlService::join`].
@@ -373,7 +374,7 @@
     pub async fn join(&self, record: MemberRecord) -> Result<JoinReply, CallError> {
         let client = self.client().await?;
         let reply = client.join(self.context(Duration::ZERO), record).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ControlService::members`].
@@ -383,7 +384,7 @@
     pub async fn members(&self) -> Result<MembersReply, CallError> {
         let client = self.client().await?;
         let reply = client.members(self.context(Duration::ZERO)).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::ControlService::history`].
@@ -393,7 +394,7 @@
     pub async fn history(&self, profile: ProfileName) -> Result<Vec<HistoryRecord>, CallError> {
         let client = self.client().await?;
         let reply = client.history(self.context(Duration::ZERO), profile).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 }
 
@@ -406,7 +407,7 @@
         let client = self.client().await?;
         let wait = Duration::from_millis(call.wait_millis);
         let reply = client.report(self.context(wait), call).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 
     /// See [`crate::EntryService::submit`].
@@ -416,6 +417,6 @@
     pub async fn submit(&self, command: CatalogCommand) -> Result<SubmitReply, CallError> {
         let client = self.client().await?;
         let reply = client.submit(self.context(Duration::ZERO), command).await;
-        self.settle(reply)
+        self.drop_on_error(reply)
     }
 }
--- a/crates/rpc/src/preface.rs
+++ b/crates/rpc/src/preface.rs
@@ -1,4 +1,4 @@
-//! The first bytes of a connection: proof of the shared peer token.
+//! The first bytes of a connection, which prove knowledge of the shared peer token.
 
 use std::{fmt, io, time::Duration};
 use subtle::ConstantTimeEq;
@@ -7,51 +7,51 @@
     net::TcpStream,
 };
 
-/// Separates this use of the token from every other.
-const CONTEXT: &str = "egretseam peer connection preface v1";
-/// Length of the preface.
+/// Key derivation context: separates the preface from other values derived from the token.
+const PREFACE_CONTEXT: &str = "egretseam peer connection preface v1";
+/// Length of the preface in bytes.
 const PREFACE_BYTES: usize = 32;
-/// How long a connecting process may take to send the preface.
+/// Timeout for the connecting process to send the preface.
 const PREFACE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Value derived from the peer token that opens every connection between our processes.
+/// Value derived from the peer token with which every connection between peers starts.
 ///
-/// It keeps strangers and misdirected processes out. It does not hide traffic: run the peer
-/// listeners on a private network or a tunnel.
+/// It keeps out unknown and misdirected processes. It does not encrypt traffic: run the peer
+/// listeners on a private network or in a tunnel.
 #[derive(Clone, Copy)]
 pub struct PeerSecret([u8; PREFACE_BYTES]);
 
 impl PeerSecret {
     /// Derives the preface from a token.
     pub fn derive(token: &str) -> Self {
-        Self(blake3::derive_key(CONTEXT, token.as_bytes()))
+        Self(blake3::derive_key(PREFACE_CONTEXT, token.as_bytes()))
     }
 
-    /// The token that peers present for chunks over HTTP: derived too, so that neither it nor the
-    /// preface gives the other or the peer token away.
+    /// The token that peers present for chunks over HTTP. It is derived from the preface, so that
+    /// it reveals neither the preface nor the peer token.
     pub fn chunk_token(&self) -> String {
         const CONTEXT: &str = "egretseam chunk token v1";
         blake3::Hash::from(blake3::derive_key(CONTEXT, &self.0)).to_hex().to_string()
     }
 
-    /// The mark of our datagrams. It keeps misdirected ones out; whoever can read the network can
-    /// copy it, as with the preface.
+    /// The tag of datagrams between peers. It keeps out misdirected datagrams. Anyone who can read
+    /// the network can copy it, as with the preface.
     pub(crate) fn datagram_tag(&self) -> u64 {
         const CONTEXT: &str = "egretseam datagram tag v1";
         let key = blake3::derive_key(CONTEXT, &self.0);
         u64::from_le_bytes(key[..8].try_into().expect("eight bytes"))
     }
 
-    pub(crate) async fn offer(&self, stream: &mut TcpStream) -> io::Result<()> {
+    pub(crate) async fn send_preface(&self, stream: &mut TcpStream) -> io::Result<()> {
         stream.write_all(&self.0).await
     }
 
-    /// Reads the other side's preface; an error means it is not one of ours.
-    pub(crate) async fn expect(&self, stream: &mut TcpStream) -> io::Result<()> {
-        let mut offered = [0; PREFACE_BYTES];
-        let read = stream.read_exact(&mut offered);
+    /// Reads and verifies the other end's preface.
+    pub(crate) async fn verify_preface(&self, stream: &mut TcpStream) -> io::Result<()> {
+        let mut received = [0; PREFACE_BYTES];
+        let read = stream.read_exact(&mut received);
         tokio::time::timeout(PREFACE_TIMEOUT, read).await.map_err(io::Error::other)??;
-        if bool::from(self.0.ct_eq(&offered)) {
+        if bool::from(self.0.ct_eq(&received)) {
             return Ok(());
         }
         Err(io::Error::new(io::ErrorKind::PermissionDenied, "wrong peer token"))
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! Accept loops for the services, on the current thread.
+//! Servers of the RPC services; each runs on the thread that starts it.
 
 use crate::{
     feed::{ChunkService, FeedService},
@@ -25,9 +25,9 @@
 pub struct RpcOptions {
     /// Largest frame in bytes.
     pub max_frame_bytes: usize,
-    /// Most calls in progress on one connection; further ones are refused.
+    /// Maximum number of calls in progress on one connection; further calls are rejected.
     pub max_calls: usize,
-    /// Most connections.
+    /// Maximum number of connections; further connections are closed at once.
     pub max_connections: usize,
 }
 
@@ -46,12 +46,12 @@
 }
 
 impl RpcServer {
-    /// Where it listens.
+    /// Address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections closed for a wrong preface or for being too many.
+    /// Number of connections closed for a missing or wrong preface, or above `max_connections`.
     pub fn rejected(&self) -> u64 {
         self.rejected.get()
     }
@@ -132,29 +132,31 @@
     F: Fn(TcpStream, RpcOptions) -> Fut + 'static,
     Fut: Future<Output = ()> + 'static,
 {
-    const BACKOFF: Duration = Duration::from_millis(50);
-    let open = Rc::new(());
-    let mut ended = stopped.clone();
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+    let connections = Rc::new(());
+    let mut loop_stopped = stopped.clone();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = ended.changed() => return,
+            _ = loop_stopped.changed() => return,
         };
         let Ok((mut stream, peer)) = accepted else {
-            tokio::time::sleep(BACKOFF).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if Rc::strong_count(&open) > options.max_connections {
+        if Rc::strong_count(&connections) > options.max_connections {
             rejected.set(rejected.get() + 1);
             continue;
         }
         let (serve, rejected) = (serve.clone(), rejected.clone());
-        let (guard, mut stopped) = (open.clone(), stopped.clone());
+        let (guard, mut stopped) = (connections.clone(), stopped.clone());
         actix_rt::spawn(async move {
             let _guard = guard;
-            if let Err(error) = stream.set_nodelay(true).and(secret.expect(&mut stream).await) {
+            if let Err(error) =
+                stream.set_nodelay(true).and(secret.verify_preface(&mut stream).await)
+            {
                 rejected.set(rejected.get() + 1);
-                tracing::warn!(%peer, %error, "refused a peer connection");
+                tracing::warn!(%peer, %error, "rejected a peer connection");
                 return;
             }
             tokio::select! {
--- a/crates/rpc/src/wire.rs
+++ b/crates/rpc/src/wire.rs
@@ -1,70 +1,71 @@
-//! Messages and service definitions.
+//! Messages and services of control members and entries.
 
 use egretseam_catalog::{CatalogCommand, CatalogReply, ConfigUpdate, HistoryRecord, LogTime};
 use egretseam_proto::{Incarnation, InstanceName, ProfileName, Revision, TargetReport, ZoneName};
 use egretseam_replica::{Envelope, MemberRecord, MembershipChange};
 use serde::{Deserialize, Serialize};
 
-/// What a control member answers to a command.
+/// A control member's reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmitReply {
     /// Committed on a quorum and applied.
     Applied(CatalogReply),
-    /// Not appended; try the leader.
+    /// Not appended to the log, because this member is not the leader.
     NotLeader {
         /// `host:port` of the leader, if known.
         leader: Option<String>,
     },
-    /// Not appended: too much waits, or the member is not ready.
+    /// Not appended to the log: the queue is full, or the member is not ready.
     Busy,
-    /// Appended, but the outcome is not known here. Edits may be resent under the same operation.
+    /// Possibly appended to the log, outcome unknown. Edits may be retried with the same operation
+    /// id.
     Unknown,
 }
 
-/// A holder of configuration asks for what is new, and for confirmation that nothing else is.
+/// Asks for changes of the configuration, and for confirmation that there are no others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchCall {
-    /// The entry that asks.
+    /// The entry that makes the call.
     pub entry: InstanceName,
-    /// Its run.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Revision that it holds.
+    /// Configuration revision that it holds.
     pub held: Revision,
-    /// How long the answer may wait for a change.
+    /// Milliseconds that the reply may wait for a change.
     pub wait_millis: u64,
 }
 
 /// Answers a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WatchReply {
-    /// Everything accepted before the call began is in `update` or was held.
+    /// Every change committed before the call began is in `update` or was already held.
     Confirmed {
-        /// What is new.
+        /// Changes since the held revision.
         update: ConfigUpdate,
-        /// The log's clock.
+        /// Clock of the replicated log.
         clock: LogTime,
     },
-    /// This member cannot confirm anything now; ask another.
+    /// This member cannot confirm its state now; another one may.
     Unconfirmed,
 }
 
-/// When an entry last watched, as a control member saw it.
+/// Last watch call of an entry, as seen by a control member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatcherReport {
     /// The entry.
     pub entry: InstanceName,
-    /// Its run.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Revision that it held.
+    /// Configuration revision that it held.
     pub held: Revision,
-    /// Milliseconds since its last watch.
+    /// Milliseconds since its last watch call.
     pub silent_millis: u64,
 }
 
-/// A change of the control group's membership.
+/// Requests a change of the control group's membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberCall {
-    /// The step.
+    /// The change.
     pub change: MembershipChange,
 }
 
@@ -73,28 +74,28 @@
 pub enum MemberReply {
     /// Committed.
     Done,
-    /// Not appended; try the leader.
+    /// Not appended to the log, because this member is not the leader.
     NotLeader {
         /// `host:port` of the leader, if known.
         leader: Option<String>,
     },
-    /// Refused; says why.
+    /// Rejected, with the reason.
     Refused(String),
-    /// Appended, but the outcome is not known here.
+    /// Possibly appended to the log, outcome unknown.
     Unknown,
 }
 
-/// Answers a member that wants to belong to the group.
+/// Answers a process that asks to join the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JoinReply {
-    /// Ask the leader.
+    /// This member is not the leader.
     NotLeader {
         /// `host:port` of the leader, if known.
         leader: Option<String>,
     },
-    /// Noted; it is added when the group can take the step.
+    /// Request recorded; the process is added once the group can make the change.
     Noted,
-    /// It belongs to the group.
+    /// The process is already a member.
     Member,
 }
 
@@ -107,55 +108,55 @@
     pub leader: Option<String>,
     /// Election term.
     pub term: u64,
-    /// Last committed index.
+    /// Index of the last committed log entry.
     pub commit: u64,
     /// The answering member's name.
     pub answered_by: String,
     /// Configuration revision at the answering member.
     pub revision: Revision,
-    /// Entries known to the answering member; complete at the leader.
+    /// Watch calls of the entries known to the answering member; complete at the leader.
     pub watchers: Vec<WatcherReport>,
 }
 
-/// Calls that a control member answers.
+/// Calls of other members, entries and operators' tools to a control member.
 #[tarpc::service]
 pub trait ControlService {
-    /// Takes messages of the replicated log. `reply_to` is the sender's `host:port`: a joining
-    /// member has no membership yet and knows no other way to answer.
+    /// Delivers messages of the replicated log. `reply_to` is the sender's `host:port`: a joining
+    /// member has no membership yet in which it could look up the address for its replies.
     async fn deliver(reply_to: String, batch: Vec<Envelope>);
-    /// Carries out a command through the log.
+    /// Executes a command through the replicated log.
     async fn submit(command: CatalogCommand) -> SubmitReply;
-    /// Waits for changes of the configuration.
+    /// Returns changes of the configuration; waits for one if there is none.
     async fn watch(call: WatchCall) -> WatchReply;
-    /// Tells the leader which entries watch at the calling member.
+    /// Reports to the leader the entries that watch at the calling member.
     async fn note_watchers(reports: Vec<WatcherReport>);
-    /// Changes the control group by one step.
+    /// Changes the membership of the control group by one step.
     async fn change_members(call: MemberCall) -> MemberReply;
-    /// Asks that a member be added to the group.
+    /// Asks for a member to be added to the control group.
     async fn join(record: MemberRecord) -> JoinReply;
     /// Describes the control group.
     async fn members() -> MembersReply;
-    /// Accepted changes of a profile, oldest first.
+    /// Committed changes of a profile, oldest first.
     async fn history(profile: ProfileName) -> Vec<HistoryRecord>;
 }
 
-/// A report with what the agent already holds.
+/// A target's report, with the state that its agent already holds: a long poll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportCall {
-    /// The account.
+    /// The report.
     pub report: TargetReport,
     /// Configuration revision that the agent holds.
     pub held: Revision,
-    /// Number of the peer list that the agent holds.
+    /// Version of the peer list that the agent holds.
     pub peers_seen: u64,
-    /// How long the answer may wait for news.
+    /// Milliseconds that the reply may wait for a change of the configuration.
     pub wait_millis: u64,
 }
 
-/// A peer to exchange chunks with.
+/// A peer with which an agent exchanges chunks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerRecord {
-    /// The target beside it.
+    /// The peer's target.
     pub target: InstanceName,
     /// Availability zone.
     pub zone: ZoneName,
@@ -166,23 +167,23 @@
 /// Answers a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportReply {
-    /// What is new in the configuration.
+    /// Changes of the configuration since the held revision.
     pub update: ConfigUpdate,
-    /// For how many milliseconds from the call's start the configuration is confirmed.
+    /// Milliseconds, from the start of the call, for which the configuration is confirmed.
     pub lease_millis: u64,
-    /// The log's clock as the entry last learned it.
+    /// Clock of the replicated log, as last received by the entry.
     pub clock: LogTime,
-    /// Number of the peer list.
+    /// Version of the peer list.
     pub peers_number: u64,
-    /// The agent's group, if the list is news.
+    /// The peers in the agent's group, if the list has changed.
     pub peers: Option<Vec<PeerRecord>>,
 }
 
-/// Calls that an entry answers to agents.
+/// Calls of agents to an entry.
 #[tarpc::service]
 pub trait EntryService {
-    /// Takes a report and gives what is new.
+    /// Records a report and returns changes of the configuration and the peer list.
     async fn report(call: ReportCall) -> ReportReply;
-    /// Passes a command on to control.
+    /// Forwards a command to control.
     async fn submit(command: CatalogCommand) -> SubmitReply;
 }
