--- a/crates/delta/src/history.rs
+++ b/crates/delta/src/history.rs
@@ -19,8 +19,8 @@
     delta: RefCell<Option<PackedDocument>>,
 }
 
-/// The newest document and a few previous ones. Each packed form is created on its first request and
-/// cached, so that its cost does not depend on the number of receivers.
+/// The newest document and a few previous ones. Each packed form is created on its first request
+/// and cached, so that its cost does not depend on the number of receivers.
 #[derive(Debug, Default)]
 pub struct DocumentHistory {
     newest: Option<(u64, Bytes)>,
--- a/crates/delta/src/packed.rs
+++ b/crates/delta/src/packed.rs
@@ -6,15 +6,15 @@
 use thiserror::Error;
 use zstd::stream::{read::Decoder, write::Encoder};
 
-/// Largest document in bytes, equal to the largest request that a control member accepts. Bounds the
-/// memory that a receiver allocates for a frame.
+/// Largest document in bytes, equal to the largest request that a control member accepts. Bounds
+/// the memory that a receiver allocates for a frame.
 pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
-/// At this level, the delta that entries receive for one changed route among 1,700 takes 32 bytes. The
-/// default level 3 misses the long match and takes 1,935 bytes; level 9 saves nothing and takes three
-/// times as long.
+/// At this level, the delta that entries receive for one changed route among 1,700 takes 32 bytes.
+/// The default level 3 misses the long match and takes 1,935 bytes; level 9 saves nothing and takes
+/// three times as long.
 const ZSTD_LEVEL: i32 = 5;
-/// Base-2 logarithms of the smallest and largest window size in bytes that Zstandard decoders accept
-/// by default.
+/// Base-2 logarithms of the smallest and largest window size in bytes that Zstandard decoders
+/// accept by default.
 const MIN_WINDOW_LOG: u32 = 10;
 const MAX_WINDOW_LOG: u32 = 27;
 
@@ -85,7 +85,8 @@
         self.base.is_none()
     }
 
-    /// Approximate size on a link in bytes: that of the frame, without some tens for the other fields.
+    /// Approximate size on a link in bytes: that of the frame, without some tens for the other
+    /// fields.
     pub fn size(&self) -> usize {
         self.frame.len()
     }
--- a/crates/proto/src/digest.rs
+++ b/crates/proto/src/digest.rs
@@ -73,8 +73,8 @@
 }
 
 digest! {
-    /// Digest over the digests of all chunks of a version, in chunk order. Identifies the content of a
-    /// version that has no manifest.
+    /// Digest over the digests of all chunks of a version, in chunk order. Identifies the content
+    /// of a version that has no manifest.
     ContentDigest
 }
 
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -23,8 +23,8 @@
 
 /// Header that carries the [`RequestVerdict`] on every failure response.
 pub const VERDICT_HEADER: &str = "egretseam-verdict";
-/// Header that carries the slug of the [`RefusalReason`] on every failure response that an egretseam
-/// process makes itself.
+/// Header that carries the slug of the [`RefusalReason`] on every failure response that an
+/// egretseam process makes itself.
 pub const REASON_HEADER: &str = "egretseam-reason";
 /// Header that carries the request's id through every hop.
 pub const REQUEST_ID_HEADER: &str = "egretseam-request-id";
@@ -32,7 +32,8 @@
 pub const REVISION_HEADER: &str = "egretseam-revision";
 /// Header with the incarnation of the agent that the entry sends the request to.
 pub const INCARNATION_HEADER: &str = "egretseam-incarnation";
-/// Header with the version of the weights: on a request the required one, on a response the one used.
+/// Header with the version of the weights: on a request the required one, on a response the one
+/// used.
 pub const VERSION_HEADER: &str = "egretseam-version";
 /// Header with the milliseconds that the caller still waits for the response.
 pub const DEADLINE_HEADER: &str = "egretseam-deadline-ms";
--- a/crates/proto/src/name.rs
+++ b/crates/proto/src/name.rs
@@ -1,5 +1,5 @@
-//! Validated names. Every name in the catalog's state or in a URL has one of these types, so that no
-//! other code needs to escape or validate it.
+//! Validated names. Every name in the catalog's state or in a URL has one of these types, so that
+//! no other code needs to escape or validate it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/proto/src/number.rs
+++ b/crates/proto/src/number.rs
@@ -1,5 +1,5 @@
-//! Numbers that identify and order events. Each is a newtype so that, for example, a revision cannot
-//! be compared with a fencing number by accident.
+//! Numbers that identify and order events. Each is a newtype so that, for example, a revision
+//! cannot be compared with a fencing number by accident.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -26,14 +26,14 @@
     Revision, u64
 }
 number! {
-    /// Strictly increasing number of an order to one target. An engine that checks it rejects orders
-    /// with lower numbers.
+    /// Strictly increasing number of an order to one target. An engine that checks it rejects
+    /// orders with lower numbers.
     FencingNumber, u64
 }
 number! {
     /// One life of a process under its name: the Unix time of its start in milliseconds by its own
-    /// wall clock, then 16 random bits. Later incarnations compare higher as long as that clock does
-    /// not go back.
+    /// wall clock, then 16 random bits. Later incarnations compare higher as long as that clock
+    /// does not go back.
     Incarnation, u64
 }
 number! {
--- a/crates/proto/src/verdict.rs
+++ b/crates/proto/src/verdict.rs
@@ -1,4 +1,5 @@
-//! What a failure response says about the request: whether it ran, why it failed, and when to retry.
+//! What a failure response says about the request: whether it ran, why it failed, and when to
+//! retry.
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, str::FromStr};
@@ -47,7 +48,8 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $variant:ident, $slug:literal, $status:literal, $retry:expr, $title:literal;)*) => {
-        /// Why a request or call was rejected or failed. Each reason has its own label in the counters.
+        /// Why a request or call was rejected or failed. Each reason has its own label in the
+        /// counters.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "kebab-case")]
         pub enum RefusalReason {
