--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     dialect::{AnswerMarks, TargetSend},
-    place::PlaceGuard,
+    dispatch::PlaceGuard,
     pool::{self, CONNECT_LIMIT, FURTHER_CONNECT_LIMIT},
     request::RequestState,
     shared::GatewayShared,
@@ -138,7 +138,7 @@
     };
     if let Some(busy) = marks.busy {
         let now = Instant::now();
-        shared.places.borrow_mut().targets.record_load(&place.target, busy, now);
+        shared.dispatch.borrow_mut().targets.record_load(&place.target, busy, now);
     }
     let answer = OpenAnswer { connection, head, marks };
     if answer.marks.not_run {
@@ -155,7 +155,7 @@
 /// One line for each request whose caller left before its target answered: how long it was on its way or
 /// at work there by then, and what was known of the target's link.
 fn log_left(shared: &GatewayShared, request: &RequestState, place: &PlaceGuard, sent_at: Instant) {
-    let link_delay = shared.places.borrow().targets.link_delay(&place.target);
+    let link_delay = shared.dispatch.borrow().targets.link_delay(&place.target);
     tracing::info!(
         request_id = %request.terms.id,
         target_id = %place.target,
@@ -176,20 +176,20 @@
     fn begin(shared: &'a GatewayShared, place: &'a PlaceGuard) -> Self {
         let sent_at = Instant::now();
         let target = &place.target;
-        shared.places.borrow_mut().targets.record_sent(target, sent_at);
+        shared.dispatch.borrow_mut().targets.record_sent(target, sent_at);
         Self { shared, target, sent_at }
     }
 
     /// The first byte came. One that was waited for in vain counts with the time it was waited for.
     fn end(self) {
         let now = Instant::now();
-        self.shared.places.borrow_mut().targets.record_first_byte(self.target, self.sent_at, now);
+        self.shared.dispatch.borrow_mut().targets.record_first_byte(self.target, self.sent_at, now);
     }
 }
 
 impl Drop for AwaitedAnswer<'_> {
     fn drop(&mut self) {
-        self.shared.places.borrow_mut().targets.stop_awaiting(self.target, self.sent_at);
+        self.shared.dispatch.borrow_mut().targets.stop_awaiting(self.target, self.sent_at);
     }
 }
 
--- a/crates/gateway/src/place.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -12,7 +12,7 @@
 
 /// How often waiting requests are looked at besides when a place comes free. What an entry expects
 /// of a target fades with time, so a place can become free without an event.
-pub(crate) const PUMP_INTERVAL: Duration = Duration::from_millis(20);
+pub(crate) const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a request needs, while it waits.
 struct WaitingRequest {
@@ -24,13 +24,13 @@
 }
 
 /// Tables of one entry.
-pub(crate) struct PlaceTable {
+pub(crate) struct DispatchState {
     pub(crate) targets: TargetTable,
     queues: IndexMap<ServiceName, WaitQueue<WaitingRequest>>,
     waiting: WaitPolicy,
 }
 
-impl PlaceTable {
+impl DispatchState {
     pub(crate) fn new(placement: PlacementPolicy, zone: ZoneName, waiting: WaitPolicy) -> Self {
         Self { targets: TargetTable::new(placement, zone), queues: IndexMap::new(), waiting }
     }
@@ -67,7 +67,7 @@
         }
         let now = Instant::now();
         let ejected =
-            self.shared.places.borrow_mut().targets.finish_attempt(&self.target, outcome, now);
+            self.shared.dispatch.borrow_mut().targets.finish_attempt(&self.target, outcome, now);
         if ejected {
             tracing::info!(target_id = %self.target, ?outcome, "a target was ejected");
         }
@@ -136,7 +136,7 @@
 
 impl Drop for Withdrawal {
     fn drop(&mut self) {
-        self.shared.places.borrow_mut().queue(&self.service).remove(self.ticket);
+        self.shared.dispatch.borrow_mut().queue(&self.service).remove(self.ticket);
     }
 }
 
@@ -145,7 +145,7 @@
     call: &PlaceCall<'_>,
 ) -> Result<PlaceReply, WaitingPlace> {
     let now = Instant::now();
-    let mut places = shared.places.borrow_mut();
+    let mut dispatch = shared.dispatch.borrow_mut();
     let need = PlacementQuery {
         service: call.service,
         model: call.model,
@@ -153,17 +153,17 @@
         late: call.claim.is_late(),
         first_byte_deadline: call.first_byte_deadline,
     };
-    let choice = places.targets.choose(&need, now);
-    let nobody_waits = places.queue(call.service).is_empty();
+    let choice = dispatch.targets.choose(&need, now);
+    let nobody_waits = dispatch.queue(call.service).is_empty();
     let in_outage = choice == PlacementOutcome::NoTarget;
     match choice {
-        PlacementOutcome::NoTarget if !places.targets.expects_capacity(call.service, now) => {
-            let after = places.queue(call.service).retry_after(rand::random());
+        PlacementOutcome::NoTarget if !dispatch.targets.expects_capacity(call.service, now) => {
+            let after = dispatch.queue(call.service).retry_after(rand::random());
             return Ok(PlaceReply::NoTarget(after));
         }
         PlacementOutcome::Target(target) if nobody_waits => {
-            note_placed(places.queue(call.service), call.claim.is_late(), now);
-            if let Some(guard) = hold(shared, &mut places, call.service, target) {
+            note_placed(dispatch.queue(call.service), call.claim.is_late(), now);
+            if let Some(guard) = hold(shared, &mut dispatch, call.service, target) {
                 return Ok(PlaceReply::Placed(guard));
             }
         }
@@ -178,8 +178,8 @@
         first_byte_deadline: call.first_byte_deadline,
         sender,
     };
-    let usual = places.targets.median_first_byte(call.service, now);
-    let queue = places.queue(call.service);
+    let usual = dispatch.targets.median_first_byte(call.service, now);
+    let queue = dispatch.queue(call.service);
     let limit = if in_outage { queue.outage_limit() } else { queue.wait_limit(&claim, usual) };
     let give_up_at = (now + limit).min(call.latest);
     let waits = if in_outage {
@@ -206,20 +206,20 @@
 }
 
 fn full(shared: &GatewayShared, service: &ServiceName) -> PlaceReply {
-    let mut places = shared.places.borrow_mut();
-    let queue = places.queue(service);
+    let mut dispatch = shared.dispatch.borrow_mut();
+    let queue = dispatch.queue(service);
     queue.record_rejected(Instant::now());
     PlaceReply::Full(queue.retry_after(rand::random()))
 }
 
 fn hold(
     shared: &Rc<GatewayShared>,
-    places: &mut PlaceTable,
+    dispatch: &mut DispatchState,
     service: &ServiceName,
     target: TargetId,
 ) -> Option<PlaceGuard> {
-    let address = places.targets.address(&target)?;
-    places.targets.start_attempt(&target, Instant::now());
+    let address = dispatch.targets.address(&target)?;
+    dispatch.targets.start_attempt(&target, Instant::now());
     let (shared, service) = (shared.clone(), service.clone());
     Some(PlaceGuard { shared, service, target, address, ended: false })
 }
@@ -229,11 +229,11 @@
     let mut given = Vec::new();
     {
         let now = Instant::now();
-        let mut places = shared.places.borrow_mut();
-        while let Some((ticket, target)) = next_place(&mut places, service, now) {
-            let Some(request) = places.queue(service).remove(ticket) else { break };
-            note_placed(places.queue(service), ticket.is_late(), now);
-            if let Some(guard) = hold(shared, &mut places, service, target) {
+        let mut dispatch = shared.dispatch.borrow_mut();
+        while let Some((ticket, target)) = next_place(&mut dispatch, service, now) {
+            let Some(request) = dispatch.queue(service).remove(ticket) else { break };
+            note_placed(dispatch.queue(service), ticket.is_late(), now);
+            if let Some(guard) = hold(shared, &mut dispatch, service, target) {
                 given.push((request.sender, guard));
             }
         }
@@ -245,10 +245,10 @@
 }
 
 /// Gives free places to those who wait for any service.
-pub(crate) fn pump_all(shared: &Rc<GatewayShared>) {
+pub(crate) fn dispatch_all(shared: &Rc<GatewayShared>) {
     let services: Vec<ServiceName> = {
-        let places = shared.places.borrow();
-        let waiting = places.queues.iter().filter(|(_, queue)| !queue.is_empty());
+        let dispatch = shared.dispatch.borrow();
+        let waiting = dispatch.queues.iter().filter(|(_, queue)| !queue.is_empty());
         waiting.map(|(service, _)| service.clone()).collect()
     };
     for service in services {
@@ -257,11 +257,11 @@
 }
 
 fn next_place(
-    places: &mut PlaceTable,
+    dispatch: &mut DispatchState,
     service: &ServiceName,
     now: Instant,
 ) -> Option<(WaitTicket, TargetId)> {
-    let queue = places.queues.get(service)?;
+    let queue = dispatch.queues.get(service)?;
     for (ticket, request) in queue.iter() {
         let need = PlacementQuery {
             service,
@@ -270,7 +270,7 @@
             late: request.late,
             first_byte_deadline: request.first_byte_deadline,
         };
-        match places.targets.choose(&need, now) {
+        match dispatch.targets.choose(&need, now) {
             PlacementOutcome::Target(target) => return Some((ticket, target)),
             // One that was refused elsewhere needs a particular target; others may still be served.
             PlacementOutcome::Full | PlacementOutcome::NoTarget if !request.tried.is_empty() => {}
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -4,7 +4,7 @@
 //! lost then still stands at the others. All of them may be lost: what is known is kept and served
 //! by, and nothing is taken back.
 
-use crate::{place, shared::GatewayShared};
+use crate::{dispatch, shared::GatewayShared};
 use egretseam_delta::PackedDocument;
 use egretseam_rpc::{FeedCall, FeedLink, FeedReader, FeedReply, FeedRoster, LinkOptions};
 use egretseam_serving::RouteTable;
@@ -187,7 +187,7 @@
         if self.failures == LOST_AFTER {
             let member = self.link.address();
             tracing::warn!(member, %error, "a control member does not answer");
-            shared.places.borrow_mut().targets.source_lost(self.source);
+            shared.dispatch.borrow_mut().targets.source_lost(self.source);
             shared.note_roster(self.source, None);
             // What it knew is asked for again from the start when it is back.
             self.position = FeedPosition::default();
@@ -201,19 +201,19 @@
         self.failures = 0;
         let now = Instant::now();
         {
-            let mut places = shared.places.borrow_mut();
+            let mut dispatch = shared.dispatch.borrow_mut();
             if self.position.run != reply.run && self.position.run != 0 {
-                places.targets.source_restarted(self.source, now);
+                dispatch.targets.source_restarted(self.source, now);
             }
             for id in &reply.gone {
-                places.targets.remove_target(id, now);
+                dispatch.targets.remove_target(id, now);
             }
             for news in &reply.targets {
                 log_target(news);
-                places.targets.apply_target(self.source, news, now);
+                dispatch.targets.apply_target(self.source, news, now);
             }
             for news in &reply.engines {
-                places.targets.apply_engine(news, now);
+                dispatch.targets.apply_engine(news, now);
             }
         }
         for id in &reply.gone {
@@ -232,7 +232,7 @@
         // Whoever says that there is a newer one is asked for it, unless another was quicker.
         self.position.config_version = reply.config_version;
         if has_news {
-            place::pump_all(shared);
+            dispatch::dispatch_all(shared);
         }
     }
 
@@ -242,9 +242,9 @@
             self.followed.name(member);
         }
         {
-            let mut places = shared.places.borrow_mut();
+            let mut dispatch = shared.dispatch.borrow_mut();
             for named in &roster.versions {
-                places.targets.apply_version(named, shared.options.version_limit, now);
+                dispatch.targets.apply_version(named, shared.options.version_limit, now);
             }
         }
         shared.note_roster(self.source, Some(roster.entries));
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -4,7 +4,7 @@
 use crate::{
     attempt::{self, AttemptFailure, AttemptTerms, OpenAnswer},
     dialect::RequestTerms,
-    place::{self, PlaceCall, PlaceGuard, PlaceReply},
+    dispatch::{self, PlaceCall, PlaceGuard, PlaceReply},
     refusal::{Refusal, RefusalKind},
     relay::{self, RelayEnd},
     request::RequestState,
@@ -305,7 +305,7 @@
     };
     let reply = tokio::select! {
         biased;
-        reply = place::place(shared, &call) => reply,
+        reply = dispatch::place(shared, &call) => reply,
         () = caller.closed(attempt::SENT_AHEAD) => return None,
     };
     Some(match reply {
@@ -329,7 +329,7 @@
     let answer = match opened {
         Ok(answer) => answer,
         Err(AttemptFailure::OtherTarget) => {
-            shared.places.borrow_mut().targets.remove_target(&placed.target, Instant::now());
+            shared.dispatch.borrow_mut().targets.remove_target(&placed.target, Instant::now());
             shared.pool.borrow_mut().forget(&placed.target);
             placed.finish(AttemptOutcome::Failed);
             return Err(AttemptFailure::OtherTarget);
@@ -400,10 +400,10 @@
     }
     let patience = request.limits(shared.options.callers_stay).attempt_deadline(Instant::now());
     let model = request.terms.model.as_ref();
-    let places = shared.places.borrow();
+    let dispatch = shared.dispatch.borrow();
     // Failure guarded: a request waits in a full engine until after the bound and begins on old
     // weights. It is taken back before, while there is still time to close its connection.
-    let leave_by = model.and_then(|model| places.targets.start_deadline(target, model));
+    let leave_by = model.and_then(|model| dispatch.targets.start_deadline(target, model));
     leave_by.map_or(patience, |leave_by| patience.min(leave_by + LEAVE_SLACK))
 }
 
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -1,6 +1,6 @@
 //! Hearing from control how busy targets are, and passing it on within the availability zone.
 
-use crate::{place, shared::GatewayShared};
+use crate::{dispatch, shared::GatewayShared};
 use egretseam_rpc::{LoadDatagram, MAX_DATAGRAM};
 use std::{
     net::SocketAddr,
@@ -42,14 +42,14 @@
         let now = Instant::now();
         let measured_at = now.checked_sub(SAMPLE_AGE).unwrap_or(now);
         {
-            let mut places = shared.places.borrow_mut();
+            let mut dispatch = shared.dispatch.borrow_mut();
             for sample in &datagram.samples {
                 let busy = u32::from(sample.busy);
-                places.targets.record_load_at(sample.address, busy, measured_at);
+                dispatch.targets.record_load_at(sample.address, busy, measured_at);
             }
         }
-        if shared.places.borrow().has_waiters() {
-            place::pump_all(&shared);
+        if shared.dispatch.borrow().has_waiters() {
+            dispatch::dispatch_all(&shared);
         }
     }
 }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -3,9 +3,8 @@
 use crate::{
     caller,
     dialect::CallerDialect,
-    directory, follow, loads,
+    directory, dispatch, follow, loads,
     options::{GatewayListeners, GatewayOptions},
-    place,
     shared::{GatewayShared, StopPhase},
 };
 use egretseam_h1::spawn_accept;
@@ -73,7 +72,7 @@
 
     /// Whether a target of that identity takes requests, as far as this entry knows.
     pub fn knows_target(&self, id: &str) -> bool {
-        self.shared.places.borrow().targets.is_ready(id)
+        self.shared.dispatch.borrow().targets.is_ready(id)
     }
 
     /// Stops without cutting a request off: first out of the directory, serving on while callers
@@ -119,16 +118,16 @@
         let Some(shared) = shared.upgrade() else { return };
         let now = Instant::now();
         shared.pool.borrow_mut().expire(now);
-        shared.places.borrow_mut().targets.expire(now);
+        shared.dispatch.borrow_mut().targets.expire(now);
     }
 }
 
 async fn pump(shared: Weak<GatewayShared>) {
     loop {
-        tokio::time::sleep(place::PUMP_INTERVAL).await;
+        tokio::time::sleep(dispatch::DISPATCH_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
-        if shared.places.borrow().has_waiters() {
-            place::pump_all(&shared);
+        if shared.dispatch.borrow().has_waiters() {
+            dispatch::dispatch_all(&shared);
         }
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     dialect::{CallerDialect, RequestTerms},
+    dispatch::DispatchState,
     options::GatewayOptions,
-    place::PlaceTable,
     pool::TargetPool,
     refusal::RefusalKind,
 };
@@ -115,7 +115,7 @@
     routes: RefCell<Option<Rc<RouteTable>>>,
     /// Wakes those who wait for the first configuration.
     routes_came: Notify,
-    pub(crate) places: RefCell<PlaceTable>,
+    pub(crate) dispatch: RefCell<DispatchState>,
     pub(crate) pool: RefCell<TargetPool>,
     pub(crate) patience: RefCell<RetryDetector>,
     pub(crate) budgets: RefCell<IndexMap<ServiceName, RetryBudget>>,
@@ -133,7 +133,7 @@
         dialect: Rc<dyn CallerDialect>,
         metrics: &DaemonMetrics,
     ) -> Self {
-        let places = PlaceTable::new(options.placement, options.zone.clone(), options.waiting);
+        let dispatch = DispatchState::new(options.placement, options.zone.clone(), options.waiting);
         Self {
             dialect,
             metrics: GatewayMetrics::new(metrics),
@@ -141,7 +141,7 @@
             config: RefCell::default(),
             routes: RefCell::new(None),
             routes_came: Notify::new(),
-            places: RefCell::new(places),
+            dispatch: RefCell::new(dispatch),
             pool: RefCell::default(),
             patience: RefCell::new(RetryDetector::new(options.waiting.min_retry_after)),
             budgets: RefCell::default(),
@@ -211,7 +211,7 @@
             None => {}
         }
         let roster = EntryRoster::merged(rosters.values(), Instant::now());
-        self.places.borrow_mut().targets.set_entry_count(roster.ready_count());
+        self.dispatch.borrow_mut().targets.set_entry_count(roster.ready_count());
         *self.roster.borrow_mut() = roster;
     }
 
