--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -1,8 +1,8 @@
 //! One caller's connection: request after request, until either side ends it.
 
 use crate::{
+    error_response::{ErrorKind, ErrorResponse},
     forward::{self, AfterRequest},
-    refusal::{Refusal, RefusalKind},
     shared::{GatewayShared, StopPhase},
 };
 use bytes::Bytes;
@@ -76,13 +76,13 @@
         Ok(Ok(Some(head))) => head,
         Ok(Ok(None)) => return AfterRequest::Close,
         Ok(Err(error)) => return refuse_reading(shared, caller, &error).await,
-        Err(_) => return refuse(shared, caller, RefusalKind::SlowCaller).await,
+        Err(_) => return refuse(shared, caller, ErrorKind::SlowCaller).await,
     };
     let _progress = CountGuard::new(&shared.in_progress);
     let body = match read_body(caller, &head, &limits).await {
         Ok(body) => body,
         Err(BodyFault::Reading(error)) => return refuse_reading(shared, caller, &error).await,
-        Err(BodyFault::Slow) => return refuse(shared, caller, RefusalKind::SlowCaller).await,
+        Err(BodyFault::Slow) => return refuse(shared, caller, ErrorKind::SlowCaller).await,
     };
     forward::serve(shared, caller, head, body, received_at).await
 }
@@ -125,10 +125,10 @@
 ) -> AfterRequest {
     let kind = match error {
         ReadError::HeadTooLarge | ReadError::Head(HeadError::TooManyFields) => {
-            RefusalKind::HeadTooLarge
+            ErrorKind::HeadTooLarge
         }
-        ReadError::BodyTooLarge => RefusalKind::BodyTooLarge,
-        ReadError::Head(_) => RefusalKind::Malformed,
+        ReadError::BodyTooLarge => ErrorKind::BodyTooLarge,
+        ReadError::Head(_) => ErrorKind::Malformed,
         ReadError::Closed | ReadError::Io(_) => return AfterRequest::Abort,
     };
     refuse(shared, caller, kind).await
@@ -137,7 +137,7 @@
 async fn refuse(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
-    kind: RefusalKind,
+    kind: ErrorKind,
 ) -> AfterRequest {
-    forward::answer_refusal(shared, caller, &Refusal::new(kind), false, "").await
+    forward::answer_refusal(shared, caller, &ErrorResponse::new(kind), false, "").await
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/error_response.rs
@@ -7,7 +7,7 @@
 
 /// Why a request ends without its target's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RefusalKind {
+pub(crate) enum ErrorKind {
     /// This entry has no configuration yet.
     NoConfig,
     /// No route applies.
@@ -40,7 +40,7 @@
     BrokenAnswer,
 }
 
-impl RefusalKind {
+impl ErrorKind {
     /// All kinds, for metrics.
     pub(crate) const ALL: [Self; 15] = [
         Self::NoConfig,
@@ -127,18 +127,18 @@
 
 /// An answer of our own.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Refusal {
-    pub(crate) kind: RefusalKind,
+pub(crate) struct ErrorResponse {
+    pub(crate) kind: ErrorKind,
     /// When the caller should come back, where that helps.
     pub(crate) retry_after: Option<Duration>,
 }
 
-impl Refusal {
-    pub(crate) fn new(kind: RefusalKind) -> Self {
+impl ErrorResponse {
+    pub(crate) fn new(kind: ErrorKind) -> Self {
         Self { kind, retry_after: None }
     }
 
-    pub(crate) fn later(kind: RefusalKind, retry_after: Duration) -> Self {
+    pub(crate) fn later(kind: ErrorKind, retry_after: Duration) -> Self {
         Self { kind, retry_after: Some(retry_after) }
     }
 
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -22,7 +22,7 @@
     }
 
     /// Bytes of an event that is not whole.
-    pub fn rest(&self) -> &[u8] {
+    pub fn partial_event(&self) -> &[u8] {
         &self.pending
     }
 
@@ -32,13 +32,13 @@
     }
 
     /// Whether what is pending cannot be an event any more.
-    pub fn is_overlong(&self) -> bool {
+    pub fn exceeds_limit(&self) -> bool {
         self.pending.len() > MAX_EVENT_BYTES
     }
 }
 
 /// The id of the last event in `events` that has one.
-pub fn event_id(events: &[u8]) -> Option<&str> {
+pub fn last_event_id(events: &[u8]) -> Option<&str> {
     let lines = events.rsplit(|byte| *byte == b'\n');
     let id = lines.into_iter().find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(id).ok().map(str::trim)
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -218,7 +218,7 @@
         }
         for id in &reply.gone {
             tracing::info!(target_id = %id, "a target left");
-            shared.pool.borrow_mut().forget(id);
+            shared.pool.borrow_mut().remove_target(id);
         }
         let has_news = !reply.targets.is_empty() || !reply.engines.is_empty();
         if let Some(roster) = reply.roster {
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -5,7 +5,7 @@
     attempt::{self, AttemptFailure, AttemptTerms, OpenAnswer},
     dialect::RequestTerms,
     dispatch::{self, PlaceCall, PlaceGuard, PlaceReply},
-    refusal::{Refusal, RefusalKind},
+    error_response::{ErrorKind, ErrorResponse},
     relay::{self, RelayEnd},
     request::RequestState,
     shared::{GatewayShared, StopPhase},
@@ -99,17 +99,18 @@
     terms: RequestTerms,
     body: Bytes,
     received_at: Instant,
-) -> Result<RequestState, Refusal> {
+) -> Result<RequestState, ErrorResponse> {
     if shared.phase() >= StopPhase::Refusing {
-        return Err(Refusal::later(RefusalKind::Stopping, RETURN_STOPPING));
+        return Err(ErrorResponse::later(ErrorKind::Stopping, RETURN_STOPPING));
     }
-    let routes =
-        shared.routes().ok_or_else(|| Refusal::later(RefusalKind::NoConfig, RETURN_NO_CONFIG))?;
+    let routes = shared
+        .routes()
+        .ok_or_else(|| ErrorResponse::later(ErrorKind::NoConfig, RETURN_NO_CONFIG))?;
     let route = find_route(&routes, &head)?;
     let holder = match routes.authorise(&route, terms.key.as_deref()) {
         Ok(holder) => holder.cloned(),
-        Err(AccessError::MissingKey) => return Err(Refusal::new(RefusalKind::MissingKey)),
-        Err(AccessError::UnknownKey) => return Err(Refusal::new(RefusalKind::UnknownKey)),
+        Err(AccessError::MissingKey) => return Err(ErrorResponse::new(ErrorKind::MissingKey)),
+        Err(AccessError::UnknownKey) => return Err(ErrorResponse::new(ErrorKind::UnknownKey)),
     };
     let service = route.destination(rand::random()).clone();
     shared.note_request(&service);
@@ -136,10 +137,10 @@
     })
 }
 
-fn find_route(routes: &RouteTable, head: &RequestHead) -> Result<Rc<RouteRecord>, Refusal> {
-    let host = head.headers.text("host").ok_or(Refusal::new(RefusalKind::Malformed))?;
+fn find_route(routes: &RouteTable, head: &RequestHead) -> Result<Rc<RouteRecord>, ErrorResponse> {
+    let host = head.headers.text("host").ok_or(ErrorResponse::new(ErrorKind::Malformed))?;
     let route = routes.route(host, head.path()).cloned();
-    route.ok_or(Refusal::new(RefusalKind::NoRoute))
+    route.ok_or(ErrorResponse::new(ErrorKind::NoRoute))
 }
 
 /// Makes attempts until one is answered or no further one is allowed.
@@ -147,7 +148,7 @@
     shared: &Rc<GatewayShared>,
     caller: &mut HttpConnection,
     request: &mut RequestState,
-) -> Result<AfterRequest, Refusal> {
+) -> Result<AfterRequest, ErrorResponse> {
     let mut tried: Vec<TargetId> = Vec::new();
     let mut arrivals = 0;
     let mut unreached = 0;
@@ -188,7 +189,7 @@
             return if may_have_run {
                 give_up(request, failure)
             } else {
-                Err(Refusal::later(RefusalKind::TargetsRefused, RETURN_REFUSED))
+                Err(ErrorResponse::later(ErrorKind::TargetsRefused, RETURN_REFUSED))
             };
         }
         shared.metrics.count_retry(failure.slug());
@@ -265,14 +266,14 @@
     request.route.max_attempts.min(shared.options.most_attempts)
 }
 
-fn give_up(request: &RequestState, failure: AttemptFailure) -> Result<AfterRequest, Refusal> {
+fn give_up(request: &RequestState, failure: AttemptFailure) -> Result<AfterRequest, ErrorResponse> {
     if request.answering {
         // The caller has a part of a stream; only a broken connection says that it is not whole.
         return Ok(AfterRequest::Abort);
     }
     let expired = failure == AttemptFailure::Silent || Instant::now() >= request.deadline;
-    let kind = if expired { RefusalKind::Expired } else { RefusalKind::BrokenAnswer };
-    Err(Refusal::new(kind))
+    let kind = if expired { ErrorKind::Expired } else { ErrorKind::BrokenAnswer };
+    Err(ErrorResponse::new(kind))
 }
 
 fn caller_left(shared: &GatewayShared, request: &RequestState) -> AfterRequest {
@@ -292,7 +293,7 @@
     caller: &mut HttpConnection,
     request: &RequestState,
     tried: &[TargetId],
-) -> Option<Result<PlaceGuard, Refusal>> {
+) -> Option<Result<PlaceGuard, ErrorResponse>> {
     let limits = request.limits(shared.options.callers_stay);
     let is_first = tried.is_empty();
     let call = PlaceCall {
@@ -311,10 +312,10 @@
     Some(match reply {
         PlaceReply::Placed(guard) => Ok(guard),
         PlaceReply::Full(_) if Instant::now() >= request.deadline => {
-            Err(Refusal::new(RefusalKind::ExpiredUnsent))
+            Err(ErrorResponse::new(ErrorKind::ExpiredUnsent))
         }
-        PlaceReply::Full(after) => Err(Refusal::later(RefusalKind::Full, after)),
-        PlaceReply::NoTarget(after) => Err(Refusal::later(RefusalKind::NoTarget, after)),
+        PlaceReply::Full(after) => Err(ErrorResponse::later(ErrorKind::Full, after)),
+        PlaceReply::NoTarget(after) => Err(ErrorResponse::later(ErrorKind::NoTarget, after)),
     })
 }
 
@@ -330,7 +331,7 @@
         Ok(answer) => answer,
         Err(AttemptFailure::OtherTarget) => {
             shared.dispatch.borrow_mut().targets.remove_target(&placed.target, Instant::now());
-            shared.pool.borrow_mut().forget(&placed.target);
+            shared.pool.borrow_mut().remove_target(&placed.target);
             placed.finish(AttemptOutcome::Failed);
             return Err(AttemptFailure::OtherTarget);
         }
@@ -426,7 +427,7 @@
 pub(crate) async fn answer_refusal(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
-    refusal: &Refusal,
+    refusal: &ErrorResponse,
     keeps: bool,
     id: &str,
 ) -> AfterRequest {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,13 +13,13 @@
 mod dialect;
 mod directory;
 mod dispatch;
+mod error_response;
 mod events;
 mod follow;
 mod forward;
 mod loads;
 mod options;
 mod pool;
-mod refusal;
 mod relay;
 mod request;
 mod runtime;
@@ -27,7 +27,7 @@
 
 pub use crate::{
     dialect::{AnswerMarks, CallerDialect, LookupQuery, RequestTerms, TargetSend},
-    events::{EventBuffer, event_id},
+    events::{EventBuffer, last_event_id},
     options::{GatewayListeners, GatewayOptions},
     runtime::{GatewayRuntime, StartError},
 };
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -29,11 +29,11 @@
 
 /// Idle connections by target.
 #[derive(Debug, Default)]
-pub(crate) struct TargetPool {
+pub(crate) struct ConnectionPool {
     idle: IndexMap<TargetId, Vec<IdleConnection>>,
 }
 
-impl TargetPool {
+impl ConnectionPool {
     /// A kept connection that is fit for a request.
     pub(crate) fn take(&mut self, target: &TargetId, now: Instant) -> Option<HttpConnection> {
         let kept = self.idle.get_mut(target)?;
@@ -75,7 +75,7 @@
     }
 
     /// Drops all connections to a target.
-    pub(crate) fn forget(&mut self, target: &TargetId) {
+    pub(crate) fn remove_target(&mut self, target: &TargetId) {
         self.idle.shift_remove(target);
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     attempt::{AttemptFailure, OpenAnswer, SENT_AHEAD},
-    events::{EventBuffer, event_id},
+    events::{EventBuffer, last_event_id},
     forward::AfterRequest,
     request::RequestState,
     shared::{GatewayShared, StopPhase},
@@ -127,9 +127,9 @@
         };
         let (events, ended) = match piece {
             Some(piece) => (buffer.push(&piece), false),
-            None => (Some(Bytes::copy_from_slice(buffer.rest())), true),
+            None => (Some(Bytes::copy_from_slice(buffer.partial_event())), true),
         };
-        if buffer.is_overlong() {
+        if buffer.exceeds_limit() {
             return RelayEnd::Broken(AttemptFailure::Broken);
         }
         let events = events.filter(|events| !events.is_empty());
@@ -191,7 +191,7 @@
     write_by(caller, &bytes, request.deadline).await?;
     request.note_passed(Instant::now());
     request.answering = true;
-    if let Some(id) = event_id(events) {
+    if let Some(id) = last_event_id(events) {
         request.last_event = Some(id.to_owned());
     }
     Ok(())
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -3,9 +3,9 @@
 use crate::{
     dialect::{CallerDialect, RequestTerms},
     dispatch::DispatchState,
+    error_response::ErrorKind,
     options::GatewayOptions,
-    pool::TargetPool,
-    refusal::RefusalKind,
+    pool::ConnectionPool,
 };
 use egretseam_http::DaemonMetrics;
 use egretseam_proto::ServiceName;
@@ -45,7 +45,7 @@
 
 impl GatewayMetrics {
     fn new(metrics: &DaemonMetrics) -> Self {
-        let refusal = |kind: RefusalKind| {
+        let refusal = |kind: ErrorKind| {
             let name = format!("egretseam_gateway_refused_{}_total", kind.slug().replace('-', "_"));
             (kind.slug(), metrics.counter(&name, "Requests refused or failed for this reason."))
         };
@@ -54,7 +54,7 @@
             (reason, metrics.counter(&name, "Requests sent again for this reason."))
         };
         Self {
-            refusals: RefusalKind::ALL.into_iter().map(refusal).collect(),
+            refusals: ErrorKind::ALL.into_iter().map(refusal).collect(),
             retries: RETRY_REASONS.into_iter().map(retry).collect(),
             requests: metrics.counter("egretseam_gateway_requests_total", "Requests read."),
             answered: metrics.counter("egretseam_gateway_answered_total", "Answers passed on."),
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(crate) fn count_refusal(&self, kind: RefusalKind) {
+    pub(crate) fn count_refusal(&self, kind: ErrorKind) {
         if let Some(counter) = self.refusals.get(kind.slug()) {
             counter.inc();
         }
@@ -116,7 +116,7 @@
     /// Wakes those who wait for the first configuration.
     routes_came: Notify,
     pub(crate) dispatch: RefCell<DispatchState>,
-    pub(crate) pool: RefCell<TargetPool>,
+    pub(crate) pool: RefCell<ConnectionPool>,
     pub(crate) patience: RefCell<RetryDetector>,
     pub(crate) budgets: RefCell<IndexMap<ServiceName, RetryBudget>>,
     /// By source: the entries that a control member hears of.
--- a/tests/all/caller_codec.rs
+++ b/tests/all/caller_codec.rs
@@ -1,7 +1,7 @@
 //! The HTTP/1.1 codec of the entries, against hostile and broken peers on real sockets.
 
 use bytes::Bytes;
-use egretseam_gateway::{EventBuffer, event_id};
+use egretseam_gateway::{EventBuffer, last_event_id};
 use egretseam_h1::{BodyReader, ConnectionOptions, HeadError, HttpConnection, ReadError};
 use proptest::prelude::*;
 use std::{io::Write, net::TcpListener, thread};
@@ -151,9 +151,9 @@
 
 #[test]
 fn the_last_event_id_is_found() {
-    assert_eq!(event_id(b"id: 7\ndata: a\n\nid: 8\ndata: b\n\n"), Some("8"));
-    assert_eq!(event_id(b"id:9\n\n"), Some("9"));
-    assert_eq!(event_id(b"data: no id\n\n"), None);
+    assert_eq!(last_event_id(b"id: 7\ndata: a\n\nid: 8\ndata: b\n\n"), Some("8"));
+    assert_eq!(last_event_id(b"id:9\n\n"), Some("9"));
+    assert_eq!(last_event_id(b"data: no id\n\n"), None);
 }
 
 proptest! {
@@ -181,7 +181,7 @@
             }
             rest = tail;
         }
-        prop_assert!(buffer.rest().is_empty());
+        prop_assert!(buffer.partial_event().is_empty());
         prop_assert_eq!(seen, stream.as_bytes());
     }
 }
