--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -209,13 +209,13 @@
                 window: settings.retry_window,
                 ..RetryPolicy::default()
             },
-            version_limit: settings.version_limit.saturating_sub(VERSION_MARGIN),
+            staleness_bound: settings.version_limit.saturating_sub(VERSION_MARGIN),
             address_lifetime: ADDRESS_LIFETIME,
-            far_address_lifetime: policy.far_lifetime.unwrap_or(FAR_ADDRESS_LIFETIME),
+            cross_zone_address_lifetime: policy.far_lifetime.unwrap_or(FAR_ADDRESS_LIFETIME),
             detects_retries: policy.detects_retries.unwrap_or(true),
-            most_attempts: policy.most_attempts.map_or(u32::MAX, |most| most as u32),
-            callers_stay: policy.callers_stay.unwrap_or(DEFAULT_STREAM_IDLE_TIMEOUT),
-            hears_loads: policy.hears_loads.unwrap_or(true),
+            max_attempts: policy.most_attempts.map_or(u32::MAX, |most| most as u32),
+            stream_idle_timeout: policy.callers_stay.unwrap_or(DEFAULT_STREAM_IDLE_TIMEOUT),
+            uses_load_datagrams: policy.hears_loads.unwrap_or(true),
             stop_limit: settings.stop_limit,
         };
         let runtime = GatewayRuntime::start(options, dialect, listeners, self.metrics);
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -73,7 +73,7 @@
 }
 
 fn lifetime(shared: &GatewayShared, far: bool) -> Duration {
-    if far { shared.options.far_address_lifetime } else { shared.options.address_lifetime }
+    if far { shared.options.cross_zone_address_lifetime } else { shared.options.address_lifetime }
 }
 
 async fn serve(stream: TcpStream, answer: impl Fn(&egretseam_h1::RequestHead) -> bytes::Bytes) {
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -244,7 +244,7 @@
         {
             let mut places = shared.places.borrow_mut();
             for named in &roster.versions {
-                places.targets.apply_version(named, shared.options.version_limit, now);
+                places.targets.apply_version(named, shared.options.staleness_bound, now);
             }
         }
         shared.note_roster(self.source, Some(roster.entries));
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -262,7 +262,7 @@
 
 /// How many targets the request may reach.
 fn most_arrivals(shared: &GatewayShared, request: &RequestState) -> u32 {
-    request.route.max_attempts.min(shared.options.most_attempts)
+    request.route.max_attempts.min(shared.options.max_attempts)
 }
 
 fn give_up(request: &RequestState, failure: AttemptFailure) -> Result<AfterRequest, Refusal> {
@@ -293,7 +293,7 @@
     request: &RequestState,
     tried: &[TargetId],
 ) -> Option<Result<PlaceGuard, Refusal>> {
-    let limits = request.limits(shared.options.callers_stay);
+    let limits = request.limits(shared.options.stream_idle_timeout);
     let is_first = tried.is_empty();
     let call = PlaceCall {
         service: &request.service,
@@ -398,7 +398,8 @@
     if !may_retry {
         return request.deadline;
     }
-    let patience = request.limits(shared.options.callers_stay).attempt_deadline(Instant::now());
+    let patience =
+        request.limits(shared.options.stream_idle_timeout).attempt_deadline(Instant::now());
     let model = request.terms.model.as_ref();
     let places = shared.places.borrow();
     // Failure guarded: a request waits in a full engine until after the bound and begins on old
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -36,7 +36,7 @@
         if datagram.for_zone {
             pass_on(&shared, &socket, &datagram).await;
         }
-        if !shared.options.hears_loads {
+        if !shared.options.uses_load_datagrams {
             continue;
         }
         let now = Instant::now();
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -44,20 +44,20 @@
     pub retries: RetryPolicy,
     /// Time from naming a version until no request may begin on an older one, less a margin for
     /// requests on their way.
-    pub version_limit: Duration,
+    pub staleness_bound: Duration,
     /// How long callers may keep the answer to a lookup.
     pub address_lifetime: Duration,
     /// The same for callers of other availability zones. They ask here after the entries of their
     /// own zone did not answer, which takes them up to a second each.
-    pub far_address_lifetime: Duration,
+    pub cross_zone_address_lifetime: Duration,
     /// Whether retries are detected by their deadline.
     pub detects_retries: bool,
     /// Most targets that one request may be sent to, whatever its route allows.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// How long callers of streams stay without an event, at the least.
-    pub callers_stay: Duration,
+    pub stream_idle_timeout: Duration,
     /// Whether control's datagrams of how busy targets are count.
-    pub hears_loads: bool,
+    pub uses_load_datagrams: bool,
     /// Time from the order to stop until the process must have ended.
     pub stop_limit: Duration,
 }
