--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One sending of a request to one target, up to the head of its answer.
 
 use crate::{
-    dialect::{AnswerMarks, TargetSend},
+    dialect::{ResponseMetadata, TargetRequest},
     place::PlaceGuard,
     pool::{self, CONNECT_LIMIT, FURTHER_CONNECT_LIMIT},
     request::RequestState,
@@ -22,7 +22,7 @@
 pub(crate) struct OpenAnswer {
     pub(crate) connection: HttpConnection,
     pub(crate) head: ResponseHead,
-    pub(crate) marks: AnswerMarks,
+    pub(crate) marks: ResponseMetadata,
 }
 
 impl OpenAnswer {
@@ -101,12 +101,12 @@
     terms: AttemptTerms,
 ) -> Result<OpenAnswer, AttemptFailure> {
     let mut connection = connection_to(shared, place, terms.opens_connection).await?;
-    let send = TargetSend {
+    let send = TargetRequest {
         target: &place.target,
         organisation: request.organisation(),
         time_left: request.deadline.saturating_duration_since(Instant::now()),
         urgent: request.answering,
-        last_event: request.last_event.as_deref(),
+        last_event_id: request.last_event.as_deref(),
         body: &request.body,
     };
     let bytes = shared.dialect.write_request(&request.head, &send);
@@ -136,12 +136,12 @@
             return Err(failure);
         }
     };
-    if let Some(busy) = marks.busy {
+    if let Some(busy) = marks.load {
         let now = Instant::now();
         shared.places.borrow_mut().targets.record_load(&place.target, busy, now);
     }
     let answer = OpenAnswer { connection, head, marks };
-    if answer.marks.not_run {
+    if answer.marks.not_executed {
         return Err(refuse(shared, request, place, answer).await);
     }
     // Failure guarded: a success without the target's signature is not the target's answer, for
@@ -220,11 +220,11 @@
     shared: &GatewayShared,
     connection: &mut HttpConnection,
     request: &RequestState,
-) -> Result<(ResponseHead, AnswerMarks), AttemptFailure> {
+) -> Result<(ResponseHead, ResponseMetadata), AttemptFailure> {
     for _ in 0..=MAX_STRAY_ANSWERS {
         let head = connection.read_response().await.map_err(|_| AttemptFailure::Broken)?;
-        let marks = shared.dialect.read_marks(&head);
-        if marks.request.as_deref().is_none_or(|id| id == request.terms.id) {
+        let marks = shared.dialect.read_response_metadata(&head);
+        if marks.request_id.as_deref().is_none_or(|id| id == request.terms.id) {
             return Ok((head, marks));
         }
         tracing::warn!(request_id = %request.terms.id, "an answer to another request was dropped");
@@ -242,7 +242,7 @@
     place: &PlaceGuard,
     answer: OpenAnswer,
 ) -> AttemptFailure {
-    let other = answer.marks.other_target;
+    let other = answer.marks.wrong_target;
     let reader = answer.body(&request.head.method);
     let keeps = answer.head.keeps_alive() && !other;
     let mut connection = answer.connection;
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     attempt::{self, AttemptFailure, AttemptTerms, OpenAnswer},
-    dialect::RequestTerms,
+    dialect::RequestMetadata,
     place::{self, PlaceCall, PlaceGuard, PlaceReply},
     refusal::{Refusal, RefusalKind},
     relay::{self, RelayEnd},
@@ -50,7 +50,7 @@
 ) -> AfterRequest {
     shared.metrics.requests.inc();
     let keeps = head.keeps_alive();
-    let terms = shared.dialect.read_terms(&head);
+    let terms = shared.dialect.read_request_metadata(&head);
     let id = terms.id.clone();
     if shared.routes().is_none() && !await_config(shared, caller, &terms).await {
         return AfterRequest::Abort;
@@ -79,7 +79,7 @@
 async fn await_config(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
-    terms: &RequestTerms,
+    terms: &RequestMetadata,
 ) -> bool {
     let limit = shared.options.waiting.outage_limit;
     let limit = terms.time_left.map_or(limit, |left| left.min(limit));
@@ -96,7 +96,7 @@
 fn admit(
     shared: &GatewayShared,
     head: RequestHead,
-    terms: RequestTerms,
+    terms: RequestMetadata,
     body: Bytes,
     received_at: Instant,
 ) -> Result<RequestState, Refusal> {
@@ -106,7 +106,7 @@
     let routes =
         shared.routes().ok_or_else(|| Refusal::later(RefusalKind::NoConfig, RETURN_NO_CONFIG))?;
     let route = find_route(&routes, &head)?;
-    let holder = match routes.authorise(&route, terms.key.as_deref()) {
+    let holder = match routes.authorise(&route, terms.api_key.as_deref()) {
         Ok(holder) => holder.cloned(),
         Err(AccessError::MissingKey) => return Err(Refusal::new(RefusalKind::MissingKey)),
         Err(AccessError::UnknownKey) => return Err(Refusal::new(RefusalKind::UnknownKey)),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -26,7 +26,7 @@
 mod shared;
 
 pub use crate::{
-    dialect::{AnswerMarks, CallerDialect, LookupQuery, RequestTerms, TargetSend},
+    dialect::{CallerDialect, LookupQuery, RequestMetadata, ResponseMetadata, TargetRequest},
     events::{EventBuffer, event_id},
     options::{GatewayListeners, GatewayOptions},
     runtime::{GatewayRuntime, StartError},
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,6 +1,6 @@
 //! What is known of one request while it is served.
 
-use crate::dialect::RequestTerms;
+use crate::dialect::RequestMetadata;
 use bytes::Bytes;
 use egretseam_h1::RequestHead;
 use egretseam_proto::{OrganisationName, ServiceName};
@@ -11,7 +11,7 @@
 /// What is known of a request while it is served.
 pub(crate) struct RequestState {
     pub(crate) head: RequestHead,
-    pub(crate) terms: RequestTerms,
+    pub(crate) terms: RequestMetadata,
     pub(crate) body: Bytes,
     pub(crate) route: Rc<RouteRecord>,
     pub(crate) holder: Option<KeyHolder>,
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,7 +1,7 @@
 //! State that the tasks of one entry share. All on one thread.
 
 use crate::{
-    dialect::{CallerDialect, RequestTerms},
+    dialect::{CallerDialect, RequestMetadata},
     options::GatewayOptions,
     place::PlaceTable,
     pool::TargetPool,
@@ -221,7 +221,7 @@
     }
 
     /// How long a caller has been trying, by the time that it says it has left.
-    pub(crate) fn tried_before(&self, route: &RouteRecord, terms: &RequestTerms) -> Duration {
+    pub(crate) fn tried_before(&self, route: &RouteRecord, terms: &RequestMetadata) -> Duration {
         if !self.options.detects_retries {
             return Duration::ZERO;
         }
