--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -130,7 +130,7 @@
 
     /// Whether the entry sends requests to the target of that identity.
     pub fn knows_target(&self, id: &str) -> bool {
-        self.entry.as_ref().is_some_and(|entry| entry.knows_target(id))
+        self.entry.as_ref().is_some_and(|entry| entry.is_target_ready(id))
     }
 
     /// Takes changed settings in. Seeds change in a running process; a change of anything else is
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -35,7 +35,7 @@
 
 /// Serves a connection to its end.
 pub(crate) async fn serve(shared: Rc<GatewayShared>, stream: TcpStream) {
-    let _connection = CountGuard::new(&shared.connections);
+    let _connection = CountGuard::new(&shared.open_connections);
     // A caller that reads slowly is no lost one, so its silence is bounded by its requests' own
     // deadlines; the kernel's limit only ends connections to callers that are gone.
     let options = ConnectionOptions { silence_limit: Duration::from_secs(6) };
@@ -58,7 +58,7 @@
 async fn next_request(shared: &Rc<GatewayShared>, caller: &mut HttpConnection) -> AfterRequest {
     let limits =
         shared.routes().map_or_else(CallerLimits::default, |routes| routes.config().limits);
-    let mut stop = shared.stop.subscribe();
+    let mut stop = shared.stop_phase.subscribe();
     let waiting = tokio::time::timeout(limits.idle_timeout, caller.wait_for_message());
     let arrived = tokio::select! {
         biased;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -188,7 +188,7 @@
             let member = self.link.address();
             tracing::warn!(member, %error, "a control member does not answer");
             shared.places.borrow_mut().targets.source_lost(self.source);
-            shared.note_roster(self.source, None);
+            shared.apply_roster(self.source, None);
             // What it knew is asked for again from the start when it is back.
             self.position = FeedPosition::default();
         }
@@ -247,7 +247,7 @@
                 places.targets.apply_version(named, shared.options.staleness_bound, now);
             }
         }
-        shared.note_roster(self.source, Some(roster.entries));
+        shared.apply_roster(self.source, Some(roster.entries));
     }
 }
 
@@ -285,6 +285,6 @@
         "configuration in force"
     );
     shared.metrics.config_version.set(config.version as i64);
-    shared.patience.borrow_mut().retain(|name| config.routes.iter().any(|r| r.name == name));
+    shared.retry_detector.borrow_mut().retain(|name| config.routes.iter().any(|r| r.name == name));
     shared.set_routes(RouteTable::new(config));
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -63,7 +63,7 @@
         Ok(after) => after,
         Err(refusal) => {
             if refusal.retry_after.is_some() {
-                shared.note_return(&request.route);
+                shared.record_rejected(&request.route);
             }
             answer_refusal(shared, caller, &refusal, keeps, &id).await
         }
@@ -84,9 +84,9 @@
     let limit = shared.options.waiting.outage_limit;
     let limit = terms.time_left.map_or(limit, |left| left.min(limit));
     tokio::select! {
-        _ = tokio::time::timeout(limit, shared.await_routes()) => true,
+        _ = tokio::time::timeout(limit, shared.wait_for_routes()) => true,
         () = caller.closed(attempt::SENT_AHEAD) => {
-            shared.metrics.callers_left.inc();
+            shared.metrics.callers_disconnected.inc();
             tracing::info!(request_id = %terms.id, "the caller left before there was a configuration");
             false
         }
@@ -112,8 +112,8 @@
         Err(AccessError::UnknownKey) => return Err(Refusal::new(RefusalKind::UnknownKey)),
     };
     let service = route.destination(rand::random()).clone();
-    shared.note_request(&service);
-    let tried_before = shared.tried_before(&route, &terms);
+    shared.record_request(&service);
+    let tried_before = shared.time_spent_retrying(&route, &terms);
     let limit = terms.time_left.map_or(route.timeout, |left| left.min(route.timeout));
     Ok(RequestState {
         head,
@@ -276,7 +276,7 @@
 }
 
 fn caller_left(shared: &GatewayShared, request: &RequestState) -> AfterRequest {
-    shared.metrics.callers_left.inc();
+    shared.metrics.callers_disconnected.inc();
     tracing::info!(
         request_id = %request.terms.id,
         elapsed_millis = request.received_at.elapsed().as_millis() as u64,
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether a target of that identity takes requests, as far as this entry knows.
-    pub fn knows_target(&self, id: &str) -> bool {
+    pub fn is_target_ready(&self, id: &str) -> bool {
         self.shared.places.borrow().targets.is_ready(id)
     }
 
@@ -83,11 +83,11 @@
         const POLL: Duration = Duration::from_millis(20);
         let began = Instant::now();
         let limit = self.shared.options.stop_limit;
-        self.shared.stop.send_replace(StopPhase::Leaving);
+        self.shared.stop_phase.send_replace(StopPhase::Leaving);
         self.leaving.send_replace(true);
         tracing::info!(in_progress = self.shared.in_progress.get(), "leaving the directory");
         tokio::time::sleep(limit.mul_f64(SERVING_SHARE)).await;
-        self.shared.stop.send_replace(StopPhase::Refusing);
+        self.shared.stop_phase.send_replace(StopPhase::Refusing);
         tracing::info!(in_progress = self.shared.in_progress.get(), "refusing new requests");
         let last = began + limit.saturating_sub(STOP_RESERVE);
         // Callers come for as long as they keep the old list; they are told to go elsewhere.
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -31,7 +31,7 @@
     pub(crate) requests: IntCounter,
     pub(crate) answered: IntCounter,
     pub(crate) resumed: IntCounter,
-    pub(crate) callers_left: IntCounter,
+    pub(crate) callers_disconnected: IntCounter,
     pub(crate) connections_opened: IntCounter,
     pub(crate) config_version: IntGauge,
     pub(crate) config_unusable: IntCounter,
@@ -60,7 +60,7 @@
             answered: metrics.counter("egretseam_gateway_answered_total", "Answers passed on."),
             resumed: metrics
                 .counter("egretseam_gateway_resumed_total", "Streams that went on elsewhere."),
-            callers_left: metrics
+            callers_disconnected: metrics
                 .counter("egretseam_gateway_callers_left_total", "Callers that left unanswered."),
             connections_opened: metrics
                 .counter("egretseam_gateway_connections_total", "Connections opened to targets."),
@@ -109,21 +109,21 @@
     pub(crate) options: GatewayOptions,
     pub(crate) dialect: Rc<dyn CallerDialect>,
     pub(crate) metrics: GatewayMetrics,
-    pub(crate) run: u64,
+    pub(crate) incarnation: u64,
     /// The configuration in force, as differences are made of it.
     pub(crate) config: RefCell<ConfigHolder>,
     routes: RefCell<Option<Rc<RouteTable>>>,
     /// Wakes those who wait for the first configuration.
-    routes_came: Notify,
+    routes_available: Notify,
     pub(crate) places: RefCell<PlaceTable>,
     pub(crate) pool: RefCell<TargetPool>,
-    pub(crate) patience: RefCell<RetryDetector>,
-    pub(crate) budgets: RefCell<IndexMap<ServiceName, RetryBudget>>,
+    pub(crate) retry_detector: RefCell<RetryDetector>,
+    pub(crate) retry_budgets: RefCell<IndexMap<ServiceName, RetryBudget>>,
     /// By source: the entries that a control member hears of.
-    pub(crate) rosters: RefCell<IndexMap<u32, Vec<EntryRecord>>>,
+    pub(crate) member_rosters: RefCell<IndexMap<u32, Vec<EntryRecord>>>,
     pub(crate) roster: RefCell<EntryRoster>,
-    pub(crate) stop: watch::Sender<StopPhase>,
-    pub(crate) connections: Cell<usize>,
+    pub(crate) stop_phase: watch::Sender<StopPhase>,
+    pub(crate) open_connections: Cell<usize>,
     pub(crate) in_progress: Cell<usize>,
 }
 
@@ -137,18 +137,18 @@
         Self {
             dialect,
             metrics: GatewayMetrics::new(metrics),
-            run: rand::random(),
+            incarnation: rand::random(),
             config: RefCell::default(),
             routes: RefCell::new(None),
-            routes_came: Notify::new(),
+            routes_available: Notify::new(),
             places: RefCell::new(places),
             pool: RefCell::default(),
-            patience: RefCell::new(RetryDetector::new(options.waiting.min_retry_after)),
-            budgets: RefCell::default(),
-            rosters: RefCell::default(),
+            retry_detector: RefCell::new(RetryDetector::new(options.waiting.min_retry_after)),
+            retry_budgets: RefCell::default(),
+            member_rosters: RefCell::default(),
             roster: RefCell::default(),
-            stop: watch::Sender::new(StopPhase::Running),
-            connections: Cell::new(0),
+            stop_phase: watch::Sender::new(StopPhase::Running),
+            open_connections: Cell::new(0),
             in_progress: Cell::new(0),
             options,
         }
@@ -157,12 +157,12 @@
     /// Puts a configuration in force.
     pub(crate) fn set_routes(&self, routes: RouteTable) {
         *self.routes.borrow_mut() = Some(Rc::new(routes));
-        self.routes_came.notify_waiters();
+        self.routes_available.notify_waiters();
     }
 
     /// Returns when there is a configuration.
-    pub(crate) async fn await_routes(&self) {
-        let came = self.routes_came.notified();
+    pub(crate) async fn wait_for_routes(&self) {
+        let came = self.routes_available.notified();
         if self.routes.borrow().is_none() {
             came.await;
         }
@@ -178,7 +178,7 @@
     }
 
     pub(crate) fn phase(&self) -> StopPhase {
-        *self.stop.borrow()
+        *self.stop_phase.borrow()
     }
 
     /// Whether callers may be sent here.
@@ -190,7 +190,7 @@
     pub(crate) fn record(&self) -> EntryRecord {
         EntryRecord {
             name: self.options.name.clone(),
-            run: self.run,
+            run: self.incarnation,
             zone: self.options.zone.clone(),
             address: self.options.caller_address,
             ready: self.is_ready(),
@@ -199,8 +199,8 @@
 
     /// Takes in which entries a control member hears of; `None` if the member is lost. The word of
     /// the last one stands, so that the directory outlives all of control.
-    pub(crate) fn note_roster(&self, source: u32, entries: Option<Vec<EntryRecord>>) {
-        let mut rosters = self.rosters.borrow_mut();
+    pub(crate) fn apply_roster(&self, source: u32, entries: Option<Vec<EntryRecord>>) {
+        let mut rosters = self.member_rosters.borrow_mut();
         match entries {
             Some(entries) => {
                 rosters.insert(source, entries);
@@ -216,23 +216,27 @@
     }
 
     /// Counts a caller's request towards a service's retry budget.
-    pub(crate) fn note_request(&self, service: &ServiceName) {
+    pub(crate) fn record_request(&self, service: &ServiceName) {
         self.with_budget(service, |budget| budget.record_request(Instant::now()));
     }
 
     /// How long a caller has been trying, by the time that it says it has left.
-    pub(crate) fn tried_before(&self, route: &RouteRecord, terms: &RequestMetadata) -> Duration {
+    pub(crate) fn time_spent_retrying(
+        &self,
+        route: &RouteRecord,
+        terms: &RequestMetadata,
+    ) -> Duration {
         if !self.options.detects_retries {
             return Duration::ZERO;
         }
         let now = Instant::now();
-        let note = |left| self.patience.borrow_mut().observe(&route.name, left, now);
+        let note = |left| self.retry_detector.borrow_mut().observe(&route.name, left, now);
         terms.time_left.map_or(Duration::ZERO, note)
     }
 
     /// Counts a caller that is asked to come back.
-    pub(crate) fn note_return(&self, route: &RouteRecord) {
-        self.patience.borrow_mut().record_rejected(&route.name, Instant::now());
+    pub(crate) fn record_rejected(&self, route: &RouteRecord) {
+        self.retry_detector.borrow_mut().record_rejected(&route.name, Instant::now());
     }
 
     /// Takes one repeat out of a service's budget, if there is one.
@@ -246,7 +250,7 @@
         service: &ServiceName,
         use_it: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         let create = || RetryBudget::new(self.options.retries);
         use_it(budgets.entry(service.clone()).or_insert_with(create))
     }
