--- a/tests/all/fleet/bed.rs
+++ b/tests/all/fleet/bed.rs
@@ -25,7 +25,7 @@
 use tokio::net::TcpStream;
 
 /// How long anything may take that is waited for; far above what it takes.
-pub(super) const PATIENCE: Duration = Duration::from_secs(30);
+pub(super) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// The key of the test organisation.
 pub(super) const KEY: &str = "key-a";
 const POLL: Duration = Duration::from_millis(5);
@@ -49,7 +49,7 @@
     pub(super) entry: FleetRuntime,
     pub(super) control: Option<FleetRuntime>,
     pub(super) settings: FleetSettings,
-    calls: SocketAddr,
+    control_address: SocketAddr,
     next_host: Box<dyn FnMut() -> IpAddr>,
     _folder: TempDir,
 }
@@ -109,12 +109,12 @@
         let bed = Self {
             entry,
             control: Some(control),
-            calls: at(core, 18_000),
+            control_address: at(core, 18_000),
             settings: entry_settings,
             next_host: Box::new(next_host),
             _folder: folder,
         };
-        bed.replace(1, &usual_config(1)).await;
+        bed.replace_config(1, &default_config(1)).await;
         bed.wait_for_version(1).await;
         bed
     }
@@ -134,9 +134,9 @@
             limit: Duration::from_secs(5),
             max_body: 1 << 20,
         };
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
-            let reply = exchange(self.calls, &call).await;
+            let reply = exchange(self.control_address, &call).await;
             match reply {
                 Ok(reply) if reply.status != 503 => return (reply.status, reply.body),
                 _ => assert!(tokio::time::Instant::now() < deadline, "{target} is never answered"),
@@ -145,7 +145,7 @@
         }
     }
 
-    pub(super) async fn replace(&self, version: u64, config: &Value) {
+    pub(super) async fn replace_config(&self, version: u64, config: &Value) {
         let (status, body) = self.call("POST", "/config/replace", &config.to_string()).await;
         assert_eq!(status, 200, "version {version}: {body:?}");
     }
@@ -172,7 +172,7 @@
                 tokio::time::sleep(POLL).await;
             }
         };
-        tokio::time::timeout(PATIENCE, right).await.expect("the metrics become right");
+        tokio::time::timeout(WAIT_TIMEOUT, right).await.expect("the metrics become right");
     }
 
     pub(super) async fn wait_until(&self, done: impl Fn() -> bool) {
@@ -181,17 +181,17 @@
                 tokio::time::sleep(POLL).await;
             }
         };
-        tokio::time::timeout(PATIENCE, wait).await.expect("it happens in time");
+        tokio::time::timeout(WAIT_TIMEOUT, wait).await.expect("it happens in time");
     }
 
     /// A host of this fleet that nobody uses yet.
-    pub(super) fn host(&mut self) -> IpAddr {
+    pub(super) fn unused_host(&mut self) -> IpAddr {
         (self.next_host)()
     }
 
     /// Starts a target that is announced and known at the entry.
-    pub(super) async fn target(&mut self, id: &str) -> Rc<ScriptedTarget> {
-        let target = ScriptedTarget::start(self.host(), id).await;
+    pub(super) async fn start_target(&mut self, id: &str) -> Rc<ScriptedTarget> {
+        let target = ScriptedTarget::start(self.unused_host(), id).await;
         self.announce(&target, "ready").await;
         self.wait_until(|| self.entry.knows_target(id)).await;
         target
@@ -213,7 +213,7 @@
         self.settings.entry.as_ref().expect("an entry").caller_address
     }
 
-    pub(super) async fn caller(&self) -> Caller {
+    pub(super) async fn connect_caller(&self) -> Caller {
         let opened = TcpStream::connect(self.caller_address()).await;
         let options = ConnectionOptions::default();
         let connection = HttpConnection::new(opened.expect("connected"), &options).expect("set up");
@@ -221,15 +221,15 @@
     }
 
     /// One request on a connection of its own.
-    pub(super) async fn ask(&self, text: &str) -> Result<SeenAnswer, ReadError> {
-        let mut caller = self.caller().await;
+    pub(super) async fn send_request(&self, text: &str) -> Result<SeenAnswer, ReadError> {
+        let mut caller = self.connect_caller().await;
         caller.send(text).await;
         caller.read().await
     }
 }
 
 /// Routes of all kinds to one service.
-pub(super) fn usual_config(version: u64) -> Value {
+pub(super) fn default_config(version: u64) -> Value {
     let route = |name: &str, kind: &str| {
         json!({
             "name": name, "host": "a.example", "pathPrefix": format!("/{name}/"), "kind": kind,
--- a/tests/all/fleet/bed/caller.rs
+++ b/tests/all/fleet/bed/caller.rs
@@ -1,6 +1,6 @@
 //! A caller that sees raw answers.
 
-use super::{KEY, PATIENCE};
+use super::{KEY, WAIT_TIMEOUT};
 use egretseam_h1::{BodyReader, HttpConnection, ReadError};
 
 /// An answer as a caller saw it.
@@ -35,7 +35,7 @@
                 body: String::from_utf8_lossy(&body).into_owned(),
             })
         };
-        tokio::time::timeout(PATIENCE, work).await.expect("an answer in time")
+        tokio::time::timeout(WAIT_TIMEOUT, work).await.expect("an answer in time")
     }
 
     /// Reads until the stream's first event is here.
--- a/tests/all/fleet/changes.rs
+++ b/tests/all/fleet/changes.rs
@@ -1,6 +1,6 @@
 //! Configurations and stops.
 
-use super::bed::{FleetBed, Script, request, usual_config};
+use super::bed::{FleetBed, Script, default_config, request};
 use serde_json::json;
 use std::time::Duration;
 
@@ -9,42 +9,48 @@
 #[actix_rt::test]
 async fn an_older_version_never_comes_back() {
     let mut bed = FleetBed::start().await;
-    bed.target("i-1").await;
-    let mut third = usual_config(3);
+    bed.start_target("i-1").await;
+    let mut third = default_config(3);
     third["routes"].as_array_mut().expect("a list").retain(|route| route["name"] != "safe");
-    bed.replace(3, &third).await;
+    bed.replace_config(3, &third).await;
     bed.wait_for_version(3).await;
-    bed.replace(2, &usual_config(2)).await;
-    bed.replace(3, &usual_config(3)).await;
+    bed.replace_config(2, &default_config(2)).await;
+    bed.replace_config(3, &default_config(3)).await;
     let (status, body) = bed.call("GET", "/config/read", "").await;
     assert_eq!((status, &body[..]), (200, third.to_string().as_bytes()), "the first content stays");
-    assert_eq!(bed.ask(&request("/safe/1", "r1", "", "")).await.expect("whole").status, 404);
-    assert_eq!(bed.ask(&request("/once/1", "r2", "", "")).await.expect("whole").status, 200);
+    assert_eq!(
+        bed.send_request(&request("/safe/1", "r1", "", "")).await.expect("whole").status,
+        404
+    );
+    assert_eq!(
+        bed.send_request(&request("/once/1", "r2", "", "")).await.expect("whole").status,
+        200
+    );
 }
 
 #[actix_rt::test]
 async fn a_refused_configuration_changes_nothing() {
     let bed = FleetBed::start().await;
-    let mut shared = usual_config(2);
+    let mut shared = default_config(2);
     shared["tenants"][1]["apiKeys"] = json!(["key-a"]);
-    let bad = [shared.to_string(), "{".to_owned(), usual_config(2).to_string()[..200].to_owned()];
+    let bad = [shared.to_string(), "{".to_owned(), default_config(2).to_string()[..200].to_owned()];
     for content in bad {
         assert_eq!(bed.call("POST", "/config/replace", &content).await.0, 400);
     }
     let (_, body) = bed.call("GET", "/config/read", "").await;
-    assert_eq!(&body[..], usual_config(1).to_string().as_bytes());
+    assert_eq!(&body[..], default_config(1).to_string().as_bytes());
 }
 
 #[actix_rt::test]
 async fn a_key_that_is_taken_away_stops_working() {
     let mut bed = FleetBed::start().await;
-    bed.target("i-1").await;
-    let mut caller = bed.caller().await;
+    bed.start_target("i-1").await;
+    let mut caller = bed.connect_caller().await;
     caller.send(&request("/once/1", "r1", "", "")).await;
     assert_eq!(caller.read().await.expect("whole").status, 200);
-    let mut second = usual_config(2);
+    let mut second = default_config(2);
     second["tenants"][0]["apiKeys"] = json!(["key-b"]);
-    bed.replace(2, &second).await;
+    bed.replace_config(2, &second).await;
     bed.wait_for_version(2).await;
     caller.send(&request("/once/1", "r2", "", "")).await;
     assert_eq!(caller.read().await.expect("whole").status, 401, "also on an open connection");
@@ -56,12 +62,12 @@
 #[actix_rt::test]
 async fn a_stop_cuts_nothing_off() {
     let mut bed = FleetBed::start().await;
-    let target = bed.target("i-1").await;
+    let target = bed.start_target("i-1").await;
     target.then(Script::Slow(Duration::from_millis(60)));
-    let mut streaming = bed.caller().await;
+    let mut streaming = bed.connect_caller().await;
     streaming.send(&request("/stream/1", "r1", "", "")).await;
     bed.wait_until(|| target.arrived() == 1).await;
-    let mut kept = bed.caller().await;
+    let mut kept = bed.connect_caller().await;
     kept.send(&request("/once/1", "r2", "", "")).await;
     assert_eq!(kept.read().await.expect("whole").status, 200);
 
@@ -93,7 +99,7 @@
     let bed = FleetBed::start().await;
     let mut text = String::new();
     for version in 2..=6 {
-        let config = usual_config(version);
+        let config = default_config(version);
         text = format!("{config:#}\n \t");
         assert_eq!(bed.call("POST", "/config/replace", &text).await.0, 200);
         bed.wait_for_version(version).await;
--- a/tests/all/fleet/engines.rs
+++ b/tests/all/fleet/engines.rs
@@ -16,7 +16,7 @@
 pub(super) const CHUNKS: u32 = 12;
 
 /// A chunk that has turned bad.
-const ROTTEN: &[u8] = b"rotten";
+const CORRUPTED: &[u8] = b"rotten";
 
 /// The right bytes of a chunk.
 pub(super) fn chunk(version: u64, index: u32) -> Bytes {
@@ -55,22 +55,22 @@
 #[derive(Default)]
 pub(super) struct ScriptedOrigin {
     /// Chunks given.
-    pub(super) given: Cell<u32>,
+    pub(super) chunks_sent: Cell<u32>,
     /// How many of the next chunks are spoilt.
-    pub(super) spoil_chunks: Cell<u32>,
+    pub(super) chunks_to_corrupt: Cell<u32>,
     /// Whether it gives nothing from this version on.
-    pub(super) lost_from: Cell<Option<u64>>,
+    pub(super) unreachable_from: Cell<Option<u64>>,
     /// How long a list of digests is on its way.
-    pub(super) list_delay: Cell<Duration>,
+    pub(super) digest_list_delay: Cell<Duration>,
     /// Lists of digests that it gave.
-    pub(super) lists_given: Cell<u32>,
+    pub(super) digest_lists_sent: Cell<u32>,
     /// How many of the next lists of digests are spoilt.
-    pub(super) spoil_digests: Cell<u32>,
+    pub(super) digest_lists_to_corrupt: Cell<u32>,
     /// Size of its chunks where they are larger than what engines expect.
-    pub(super) chunk_bytes: Cell<usize>,
+    pub(super) min_chunk_bytes: Cell<usize>,
 }
 
-fn take_one(count: &Cell<u32>) -> bool {
+fn decrement(count: &Cell<u32>) -> bool {
     let left = count.get();
     count.set(left.saturating_sub(1));
     left > 0
@@ -91,16 +91,16 @@
     async fn answer(&self, head: &RequestHead) -> Answer {
         let version = number(head, "version").unwrap_or(1);
         let wants_list = head.path().starts_with("/manifest/");
-        if self.lost_from.get().is_some_and(|first| version >= first) {
+        if self.unreachable_from.get().is_some_and(|first| version >= first) {
             return (503, Bytes::new());
         }
         if wants_list {
-            self.lists_given.set(self.lists_given.get() + 1);
-            tokio::time::sleep(self.list_delay.get()).await;
+            self.digest_lists_sent.set(self.digest_lists_sent.get() + 1);
+            tokio::time::sleep(self.digest_list_delay.get()).await;
             let mut digests: Vec<String> = (0..CHUNKS)
                 .map(|index| hex::encode(Sha256::digest(self.chunk(version, index))))
                 .collect();
-            if take_one(&self.spoil_digests) {
+            if decrement(&self.digest_lists_to_corrupt) {
                 digests[3] = hex::encode(Sha256::digest(b"spoilt"));
             }
             let list = json!({
@@ -110,8 +110,8 @@
             return (200, Bytes::from(list.to_string()));
         }
         let Some(index) = number(head, "num") else { return (404, Bytes::new()) };
-        self.given.set(self.given.get() + 1);
-        if take_one(&self.spoil_chunks) {
+        self.chunks_sent.set(self.chunks_sent.get() + 1);
+        if decrement(&self.chunks_to_corrupt) {
             return (200, Bytes::from("spoilt"));
         }
         (200, self.chunk(version, index as u32))
@@ -119,7 +119,7 @@
 
     fn chunk(&self, version: u64, index: u32) -> Bytes {
         let mut bytes = chunk(version, index).to_vec();
-        bytes.resize(self.chunk_bytes.get().max(bytes.len()), b'.');
+        bytes.resize(self.min_chunk_bytes.get().max(bytes.len()), b'.');
         Bytes::from(bytes)
     }
 }
@@ -131,15 +131,15 @@
     /// Version that it holds; 0 for none.
     pub(super) version: Cell<u64>,
     /// Orders with anything but the whole version staged.
-    pub(super) bad_orders: Cell<u32>,
+    pub(super) invalid_loads: Cell<u32>,
     /// Modes of the orders.
-    pub(super) modes: RefCell<Vec<String>>,
+    pub(super) order_modes: RefCell<Vec<String>>,
     /// Answers that run. Once a version is staged whole, one ends with each look at the engine.
-    pub(super) running: Cell<u32>,
+    pub(super) running_requests: Cell<u32>,
     /// Answers that orders cut off.
-    pub(super) cut: Cell<u32>,
+    pub(super) cut_off_requests: Cell<u32>,
     /// How many of the next staged chunks turn bad where they lie.
-    pub(super) rot: Cell<u32>,
+    pub(super) staged_chunks_to_corrupt: Cell<u32>,
     /// Orders begun.
     orders_begun: Cell<u64>,
     /// Highest fencing token of an order that was not refused.
@@ -147,12 +147,12 @@
     /// Whether it takes orders with a lower one all the same.
     pub(super) ignores_tokens: Cell<bool>,
     /// How many of the next orders get no answer, and are kept until they are carried out late.
-    pub(super) withhold: Cell<u32>,
-    withheld: RefCell<Vec<Bytes>>,
+    pub(super) orders_to_withhold: Cell<u32>,
+    withheld_orders: RefCell<Vec<Bytes>>,
     /// What became of its orders, a line each, for whoever looks for the cause of a failure.
     history: RefCell<Vec<String>>,
     /// Whether they are carried out as soon as a chunk in the middle is staged.
-    pub(super) carries_out_midway: Cell<bool>,
+    pub(super) executes_while_staging: Cell<bool>,
 }
 
 impl ScriptedEngine {
@@ -169,9 +169,9 @@
         let serving = self.clone();
         actix_rt::spawn(serve(listener, async move |head: &RequestHead, body| {
             let is_order = head.path() == "/order";
-            if is_order && take_one(&serving.withhold) {
-                serving.note(&body, "withheld");
-                serving.withheld.borrow_mut().push(body);
+            if is_order && decrement(&serving.orders_to_withhold) {
+                serving.record(&body, "withheld");
+                serving.withheld_orders.borrow_mut().push(body);
                 return std::future::pending().await;
             }
             serving.answer(head, body)
@@ -179,8 +179,8 @@
     }
 
     /// Orders that got no answer and are not carried out yet.
-    pub(super) fn withheld_count(&self) -> usize {
-        self.withheld.borrow().len()
+    pub(super) fn withheld_order_count(&self) -> usize {
+        self.withheld_orders.borrow().len()
     }
 
     /// Stages the first half of a version, as an agent does that is killed meanwhile.
@@ -190,13 +190,13 @@
     }
 
     /// Spoils a staged chunk where it lies.
-    pub(super) fn spoil_staged(&self, index: u64) {
-        self.staged.borrow_mut().insert(index, Bytes::from_static(ROTTEN));
+    pub(super) fn corrupt_staged(&self, index: u64) {
+        self.staged.borrow_mut().insert(index, Bytes::from_static(CORRUPTED));
     }
 
     /// Whether it is still spoilt.
-    pub(super) fn is_spoilt(&self, index: u64) -> bool {
-        self.staged.borrow().get(&index).is_some_and(|bytes| bytes == ROTTEN)
+    pub(super) fn is_corrupted(&self, index: u64) -> bool {
+        self.staged.borrow().get(&index).is_some_and(|bytes| bytes == CORRUPTED)
     }
 
     /// Starts again: it holds nothing, counts anew, and what was on its way to it is gone.
@@ -205,14 +205,14 @@
         self.version.set(0);
         self.orders_begun.set(0);
         self.fence.set(0);
-        self.withheld.borrow_mut().clear();
+        self.withheld_orders.borrow_mut().clear();
     }
 
     /// Carries out what was withheld, as it would now.
-    pub(super) fn carry_out_withheld(&self) {
-        for order in self.withheld.take() {
-            self.note(&order, "carried out late");
-            self.take_order(&order);
+    pub(super) fn execute_withheld(&self) {
+        for order in self.withheld_orders.take() {
+            self.record(&order, "carried out late");
+            self.handle_order(&order);
         }
     }
 
@@ -229,9 +229,9 @@
                 let held = json!([{"name": "chat", "version": self.version.get()}]);
                 let models = if self.version.get() == 0 { json!([]) } else { held };
                 if self.holds_staged(self.version.get() + 1) {
-                    self.running.set(self.running.get().saturating_sub(1));
+                    self.running_requests.set(self.running_requests.get().saturating_sub(1));
                 }
-                let active = self.running.get();
+                let active = self.running_requests.get();
                 let report = json!({
                     "models": models, "busy": false, "active": active, "queued": 0,
                     "seq": self.orders_begun.get()
@@ -239,10 +239,14 @@
                 (200, Bytes::from(report.to_string()))
             }
             (b"PUT", "/stage-put/chat") => {
-                let kept = if take_one(&self.rot) { Bytes::from_static(ROTTEN) } else { body };
+                let kept = if decrement(&self.staged_chunks_to_corrupt) {
+                    Bytes::from_static(CORRUPTED)
+                } else {
+                    body
+                };
                 self.staged.borrow_mut().insert(index, kept);
-                if self.carries_out_midway.get() && index == u64::from(CHUNKS / 2) {
-                    self.carry_out_withheld();
+                if self.executes_while_staging.get() && index == u64::from(CHUNKS / 2) {
+                    self.execute_withheld();
                 }
                 (200, Bytes::new())
             }
@@ -250,7 +254,7 @@
                 Some(bytes) => (200, bytes.clone()),
                 None => (404, Bytes::new()),
             },
-            (b"POST", "/order") => self.take_order(&body),
+            (b"POST", "/order") => self.handle_order(&body),
             _ => (404, Bytes::new()),
         }
     }
@@ -262,7 +266,7 @@
         })
     }
 
-    fn note(&self, order: &[u8], outcome: &str) {
+    fn record(&self, order: &[u8], outcome: &str) {
         let order = String::from_utf8_lossy(order);
         let (begun, held) = (self.orders_begun.get(), self.version.get());
         let line = format!("{order} {outcome}; begun {begun}, held {held}");
@@ -274,14 +278,14 @@
         self.history.borrow().join("\n")
     }
 
-    fn take_order(&self, body: &[u8]) -> Answer {
-        let answer = self.judge_order(body);
-        let whole = if self.bad_orders.get() > 0 { ", not whole once" } else { "" };
-        self.note(body, &format!("{}{whole}", answer.0));
+    fn handle_order(&self, body: &[u8]) -> Answer {
+        let answer = self.apply_order(body);
+        let whole = if self.invalid_loads.get() > 0 { ", not whole once" } else { "" };
+        self.record(body, &format!("{}{whole}", answer.0));
         answer
     }
 
-    fn judge_order(&self, body: &[u8]) -> Answer {
+    fn apply_order(&self, body: &[u8]) -> Answer {
         let order: serde_json::Value = serde_json::from_slice(body).expect("JSON");
         let version = order["version"].as_u64().expect("a version");
         let begun = self.orders_begun.get();
@@ -297,11 +301,11 @@
             return (200, Bytes::new());
         }
         self.orders_begun.set(begun + 1);
-        self.cut.set(self.cut.get() + self.running.replace(0));
+        self.cut_off_requests.set(self.cut_off_requests.get() + self.running_requests.replace(0));
         if !self.holds_staged(version) {
-            self.bad_orders.set(self.bad_orders.get() + 1);
+            self.invalid_loads.set(self.invalid_loads.get() + 1);
         }
-        self.modes.borrow_mut().push(order["mode"].as_str().unwrap_or_default().to_owned());
+        self.order_modes.borrow_mut().push(order["mode"].as_str().unwrap_or_default().to_owned());
         self.version.set(version);
         (202, Bytes::new())
     }
--- a/tests/all/fleet/late_orders.rs
+++ b/tests/all/fleet/late_orders.rs
@@ -10,8 +10,8 @@
 /// still holds that version.
 async fn execute_late(fixture: &WeightsFixture, engine: &ScriptedEngine, version: u64) {
     fixture.wait_until_loaded(version).await;
-    assert!(engine.withheld_count() > 0, "no order was withheld");
-    engine.carry_out_withheld();
+    assert!(engine.withheld_order_count() > 0, "no order was withheld");
+    engine.execute_withheld();
     assert_eq!(engine.version.get(), version, "the engine went back to an older version");
     fixture.wait_until_loaded(version).await;
 }
@@ -27,10 +27,10 @@
     let fixture = WeightsFixture::start_before_superseding().await;
     let engine = fixture.engines.iter().find(|engine| engine.version.get() == 1);
     let engine = engine.expect("an engine whose turn has not come").clone();
-    engine.withhold.set(1);
+    engine.orders_to_withhold.set(1);
     fixture.publish(3).await;
-    fixture.fleet.wait_until(|| engine.withheld_count() == 1).await;
-    fixture.origin.lost_from.set(None);
+    fixture.fleet.wait_until(|| engine.withheld_order_count() == 1).await;
+    fixture.origin.unreachable_from.set(None);
     execute_late(&fixture, &engine, 3).await;
 }
 
@@ -51,12 +51,12 @@
 #[actix_rt::test]
 async fn an_outstanding_order_is_settled_while_the_newer_version_cannot_be_fetched() {
     let (fixture, engine) = WeightsFixture::start_with_outstanding_order(1).await;
-    fixture.origin.lost_from.set(Some(3));
+    fixture.origin.unreachable_from.set(Some(3));
     fixture.publish(3).await;
     fixture.wait_until_loaded(2).await;
-    engine.spoil_staged(5);
+    engine.corrupt_staged(5);
     execute_late(&fixture, &engine, 2).await;
-    fixture.origin.lost_from.set(None);
+    fixture.origin.unreachable_from.set(None);
     fixture.wait_until_loaded(3).await;
 }
 
@@ -78,11 +78,11 @@
 async fn a_restarted_agent_knows_of_an_order_that_may_be_outstanding() {
     let (mut fixture, engine) = WeightsFixture::start_with_outstanding_order(2).await;
     fixture.publish(3).await;
-    engine.carries_out_midway.set(true);
+    engine.executes_while_staging.set(true);
     fixture.stop_agent(0);
     fixture.restart_agent(0);
     fixture.wait_until_loaded(3).await;
-    assert_eq!(engine.withheld_count(), 0, "the order was not executed during staging");
+    assert_eq!(engine.withheld_order_count(), 0, "the order was not executed during staging");
 }
 
 /// Guards against the same failure, and against an engine that keeps old weights for 12 s. Several
@@ -97,12 +97,12 @@
         fixture.publish(version).await;
         fixture.fleet.wait_until(|| fixture.engines[1].version.get() == version).await;
     }
-    engine.carries_out_midway.set(true);
+    engine.executes_while_staging.set(true);
     let began = Instant::now();
     fixture.restart_agent(0);
     fixture.wait_until_loaded(5).await;
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
-    assert_eq!(engine.withheld_count(), 0, "the order was not executed during staging");
+    assert_eq!(engine.withheld_order_count(), 0, "the order was not executed during staging");
 }
 
 /// Publishes versions 3 to 5 while the only agent is down and restarts it; its engine executes the
@@ -112,12 +112,12 @@
     for version in 3..=5 {
         fixture.publish(version).await;
     }
-    engine.carries_out_midway.set(true);
+    engine.executes_while_staging.set(true);
     let began = Instant::now();
     fixture.restart_agent(0);
     fixture.wait_until_loaded(5).await;
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
-    assert_eq!(engine.withheld_count(), 0, "the order was not executed during staging");
+    assert_eq!(engine.withheld_order_count(), 0, "the order was not executed during staging");
 }
 
 /// Guards against mixed weights if no other process knows what a killed agent had staged and
@@ -137,9 +137,9 @@
     let engine = fixture.engines[0].clone();
     fixture.publish(2).await;
     fixture.wait_until_loaded(2).await;
-    engine.withhold.set(1);
+    engine.orders_to_withhold.set(1);
     engine.restart();
-    fixture.fleet.wait_until(|| engine.withheld_count() == 1).await;
+    fixture.fleet.wait_until(|| engine.withheld_order_count() == 1).await;
     restart_behind_versions(&mut fixture, &engine).await;
 }
 
@@ -151,13 +151,13 @@
     engine.ignores_tokens.set(true);
     fixture.stop_agent(0);
     // No process can identify what is staged by its digests.
-    engine.spoil_staged(5);
+    engine.corrupt_staged(5);
     for version in 3..=5 {
         fixture.publish(version).await;
     }
     fixture.restart_agent(0);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    assert!(engine.is_spoilt(5), "the agent staged something");
+    assert!(engine.is_corrupted(5), "the agent staged something");
     assert_eq!(engine.version.get(), 1);
 }
 
@@ -183,12 +183,12 @@
         let mut fixture = WeightsFixture::start(2, true).await;
         fixture.wait_until_loaded(1).await;
         let engine = fixture.engines[0].clone();
-        let orders = engine.modes.borrow().len();
+        let orders = engine.order_modes.borrow().len();
         fixture.stop_agent(0);
         fixture.publish(2).await;
         match staged {
             Intact => {}
-            Corrupted => engine.spoil_staged(5),
+            Corrupted => engine.corrupt_staged(5),
             HalfReplaced => engine.stage_half(2),
         }
         // By then the other agent has dropped the chunks of version 1.
@@ -197,7 +197,11 @@
         fixture.restart_agent(0);
         fixture.wait_until_loaded(2).await;
         assert!(began.elapsed() < Duration::from_secs(3), "{staged:?}: {:?}", began.elapsed());
-        assert_eq!(engine.modes.borrow().len(), orders + 1, "{staged:?}: orders for version 2");
+        assert_eq!(
+            engine.order_modes.borrow().len(),
+            orders + 1,
+            "{staged:?}: orders for version 2"
+        );
     }
 }
 
--- a/tests/all/fleet/narrow_link.rs
+++ b/tests/all/fleet/narrow_link.rs
@@ -256,13 +256,13 @@
     const MAX_HELD_BYTES: usize = 37_500;
     let secret = PeerSecret::derive("a token of the test");
     let (origin, origin_address) = ScriptedOrigin::start(host(19)).await;
-    origin.chunk_bytes.set(CHUNK_BYTES);
+    origin.min_chunk_bytes.set(CHUNK_BYTES);
     let serve =
         |peers, number| FakeControlMember::start(origin_address, peers, host(number), secret);
     let port = free_port(host(11));
     let (_, _senders_control, seed) = serve(Vec::new(), 11);
     let (_, _sender) = start_agent(host(11), port, &seed, secret, PlannerPolicy::default()).await;
-    wait_until(|| origin.given.get() >= CHUNKS).await;
+    wait_until(|| origin.chunks_sent.get() >= CHUNKS).await;
     let relay = Rc::new(StallingRelay {
         agent: SocketAddr::new(host(11), port),
         bytes_left: Cell::new(2 * CHUNK_BYTES),
--- a/tests/all/fleet/order_storm.rs
+++ b/tests/all/fleet/order_storm.rs
@@ -57,14 +57,14 @@
                 self.newest_version += 1;
                 self.fixture.publish(self.newest_version).await;
             }
-            3..=5 => engine.withhold.set(engine.withhold.get() + 1),
-            6..=7 => engine.carry_out_withheld(),
-            8 => engine.carries_out_midway.set(!engine.carries_out_midway.get()),
+            3..=5 => engine.orders_to_withhold.set(engine.orders_to_withhold.get() + 1),
+            6..=7 => engine.execute_withheld(),
+            8 => engine.executes_while_staging.set(!engine.executes_while_staging.get()),
             9 => engine.restart(),
             10 => self.stop_or_start_agent(at),
             _ => {
                 let lost = self.random.random_bool(0.5).then_some(self.newest_version);
-                self.fixture.origin.lost_from.set(lost);
+                self.fixture.origin.unreachable_from.set(lost);
             }
         }
     }
@@ -81,15 +81,15 @@
     /// Ends all faults. All engines must load the newest version, and keep it when they execute the
     /// orders that they still withhold.
     async fn recover(&mut self) {
-        self.fixture.origin.lost_from.set(None);
+        self.fixture.origin.unreachable_from.set(None);
         for at in 0..ENGINES {
-            self.fixture.engines[at].withhold.set(0);
+            self.fixture.engines[at].orders_to_withhold.set(0);
             if !self.agents_running[at] {
                 self.stop_or_start_agent(at);
             }
         }
         self.fixture.wait_until_loaded(self.newest_version).await;
-        let carry_out = |engine: &Rc<ScriptedEngine>| engine.carry_out_withheld();
+        let carry_out = |engine: &Rc<ScriptedEngine>| engine.execute_withheld();
         self.fixture.engines.iter().for_each(carry_out);
         self.fixture.wait_until_loaded(self.newest_version).await;
     }
--- a/tests/all/fleet/placing.rs
+++ b/tests/all/fleet/placing.rs
@@ -11,18 +11,18 @@
 #[actix_rt::test]
 async fn a_draining_target_gets_nothing_new() {
     let mut bed = FleetBed::start().await;
-    let (one, two) = (bed.target("i-1").await, bed.target("i-2").await);
+    let (one, two) = (bed.start_target("i-1").await, bed.start_target("i-2").await);
     bed.announce(&one, "draining").await;
     bed.wait_until(|| !bed.entry.knows_target("i-1")).await;
     for number in 0..10 {
         let text = request("/once/1", &format!("r{number}"), "", "");
-        assert_eq!(bed.ask(&text).await.expect("whole").status, 200);
+        assert_eq!(bed.send_request(&text).await.expect("whole").status, 200);
     }
     assert_eq!((one.arrived(), two.arrived()), (0, 10));
     assert_eq!(bed.call("POST", "/instances/i-2/deregister", "").await.0, 200);
     bed.wait_until(|| !bed.entry.knows_target("i-2")).await;
     bed.announce(&two, "ready").await;
-    let answer = bed.ask(&request("/once/1", "r11", "", "")).await.expect("whole");
+    let answer = bed.send_request(&request("/once/1", "r11", "", "")).await.expect("whole");
     assert_eq!(answer.status, 503);
     assert_eq!(two.arrived(), 10);
 }
@@ -59,10 +59,10 @@
 #[actix_rt::test]
 async fn targets_outlive_their_control_member() {
     let mut bed = FleetBed::start().await;
-    bed.target("i-1").await;
+    bed.start_target("i-1").await;
     bed.control.take().expect("it runs").stop().await;
     for number in 0..5 {
         let text = request("/once/1", &format!("r{number}"), "", "");
-        assert_eq!(bed.ask(&text).await.expect("whole").status, 200);
+        assert_eq!(bed.send_request(&text).await.expect("whole").status, 200);
     }
 }
--- a/tests/all/fleet/reports.rs
+++ b/tests/all/fleet/reports.rs
@@ -11,7 +11,7 @@
 #[actix_rt::test]
 async fn a_target_that_starts_again_under_its_name_serves_again() {
     let mut bed = FleetBed::start().await;
-    let first = bed.target("i-1").await;
+    let first = bed.start_target("i-1").await;
     let beat = |address: &str, born: u64, seq: u64, state: &str| {
         json!({
             "service": "orders", "address": address, "zone": "z1", "slots": 6, "state": state,
@@ -29,7 +29,7 @@
     assert_eq!(bed.call("POST", path, &beat(&address, 1_000, 71, "draining")).await.0, 200);
     let left = json!({ "born": 1_000 }).to_string();
     assert_eq!(bed.call("POST", "/instances/i-1/deregister", &left).await.0, 200);
-    let answer = bed.ask(&request("/once/1", "r1", "", "")).await.expect("whole");
+    let answer = bed.send_request(&request("/once/1", "r1", "", "")).await.expect("whole");
     assert_eq!(answer.status, 200);
     // One that leaves and does not say which run it is means the present one.
     assert_eq!(bed.call("POST", "/instances/i-1/deregister", "").await.0, 200);
@@ -43,7 +43,7 @@
 #[actix_rt::test]
 async fn reports_that_cannot_be_read_name_no_target_and_lose_none() {
     let mut bed = FleetBed::start().await;
-    let good = bed.target("i-1").await;
+    let good = bed.start_target("i-1").await;
     let sound = json!({
         "service": "orders", "address": "127.0.0.1:9", "zone": "z1", "slots": 6, "state": "ready",
         "coldLeftMs": 0, "seq": 50, "born": 5_000, "models": [{"name": "m", "version": 1}]
@@ -96,7 +96,7 @@
         assert_eq!(bed.call_with("POST", "/instances/i-1/deregister", body).await.0, 400);
     }
     assert!(!bed.entry.knows_target("i-9"));
-    let answer = bed.ask(&request("/once/1", "r1", "", "")).await.expect("whole");
+    let answer = bed.send_request(&request("/once/1", "r1", "", "")).await.expect("whole");
     assert_eq!((answer.status, good.arrived()), (200, 1));
 }
 
--- a/tests/all/fleet/weights.rs
+++ b/tests/all/fleet/weights.rs
@@ -11,15 +11,15 @@
 async fn a_published_version_is_loaded_everywhere_and_fetched_from_the_origin_about_once() {
     let mut fixture = WeightsFixture::start(5, true).await;
     fixture.wait_until_loaded(1).await;
-    let before = fixture.origin.given.get();
+    let before = fixture.origin.chunks_sent.get();
     fixture.publish(2).await;
     fixture.wait_until_loaded(2).await;
-    let fetched = fixture.origin.given.get() - before;
+    let fetched = fixture.origin.chunks_sent.get() - before;
     assert!(fetched <= CHUNKS * 2, "{fetched} chunks fetched for a version of {CHUNKS}");
     // An engine added later gets the newest version from peers.
     fixture.add().await;
     fixture.wait_until_loaded(2).await;
-    assert!(fixture.origin.given.get() - before <= CHUNKS * 2 + CHUNKS / 2);
+    assert!(fixture.origin.chunks_sent.get() - before <= CHUNKS * 2 + CHUNKS / 2);
 }
 
 /// Guards against answers from corrupted weights. Chunks are corrupted in transit from the origin
@@ -29,9 +29,9 @@
 async fn an_engine_never_loads_corrupted_chunks() {
     let fixture = WeightsFixture::start(3, true).await;
     fixture.wait_until_loaded(1).await;
-    fixture.origin.spoil_chunks.set(5);
+    fixture.origin.chunks_to_corrupt.set(5);
     for engine in &fixture.engines {
-        engine.rot.set(4);
+        engine.staged_chunks_to_corrupt.set(4);
     }
     fixture.publish(2).await;
     fixture.wait_until_loaded(2).await;
@@ -43,7 +43,7 @@
 async fn a_corrupted_digest_list_is_requested_again() {
     let fixture = WeightsFixture::start(2, true).await;
     fixture.wait_until_loaded(1).await;
-    fixture.origin.spoil_digests.set(1);
+    fixture.origin.digest_lists_to_corrupt.set(1);
     fixture.publish(2).await;
     fixture.wait_until_loaded(2).await;
 }
@@ -55,10 +55,10 @@
     let fixture = WeightsFixture::start(2, true).await;
     fixture.publish(2).await;
     fixture.wait_until_loaded(2).await;
-    let before = fixture.origin.given.get();
+    let before = fixture.origin.chunks_sent.get();
     fixture.engines[0].version.set(0);
     fixture.wait_until_loaded(2).await;
-    assert_eq!(fixture.origin.given.get(), before, "staged chunks were fetched again");
+    assert_eq!(fixture.origin.chunks_sent.get(), before, "staged chunks were fetched again");
 }
 
 #[actix_rt::test]
@@ -80,7 +80,7 @@
     let fixture = WeightsFixture::start_before_superseding().await;
     fixture.publish(3).await;
     fixture.wait_until_loaded(2).await;
-    fixture.origin.lost_from.set(None);
+    fixture.origin.unreachable_from.set(None);
     fixture.wait_until_loaded(3).await;
 }
 
@@ -92,7 +92,7 @@
         let fixture = WeightsFixture::start(1, resumable).await;
         fixture.publish(2).await;
         fixture.wait_until_loaded(2).await;
-        assert_eq!(fixture.engines[0].modes.borrow().last().map(String::as_str), Some(mode));
+        assert_eq!(fixture.engines[0].order_modes.borrow().last().map(String::as_str), Some(mode));
     }
 }
 
@@ -105,10 +105,14 @@
     fixture.fleet.settings.version_limit = Duration::from_secs(8);
     fixture.add().await;
     fixture.wait_until_loaded(1).await;
-    fixture.engines[0].running.set(3);
+    fixture.engines[0].running_requests.set(3);
     fixture.publish(2).await;
     fixture.wait_until_loaded(2).await;
-    assert_eq!(fixture.engines[0].cut.get(), 0, "answers that were about to end were cut off");
+    assert_eq!(
+        fixture.engines[0].cut_off_requests.get(),
+        0,
+        "answers that were about to end were cut off"
+    );
 }
 
 /// Guards against a service that is unavailable for longer than necessary. The weights arrive after
@@ -118,10 +122,13 @@
 async fn an_engine_is_not_drained_after_the_staleness_bound() {
     let fixture = WeightsFixture::start(1, true).await;
     fixture.wait_until_loaded(1).await;
-    fixture.engines[0].running.set(1_000);
+    fixture.engines[0].running_requests.set(1_000);
     fixture.publish(2).await;
     fixture.wait_until_loaded(2).await;
-    assert!(fixture.engines[0].cut.get() > 990, "the order must not wait for running answers");
+    assert!(
+        fixture.engines[0].cut_off_requests.get() > 990,
+        "the order must not wait for running answers"
+    );
 }
 
 /// Guards against a complete copy of the weights fetched from the origin at every start of the
@@ -138,7 +145,7 @@
     let listener = tokio::net::TcpListener::bind(target).await.expect("the port is still free");
     engine.serve_at(listener);
     fixture.wait_until_loaded(1).await;
-    assert_eq!(fixture.origin.given.get(), 0, "chunks that are staged were fetched");
+    assert_eq!(fixture.origin.chunks_sent.get(), 0, "chunks that are staged were fetched");
 }
 
 /// Guards against added engines that serve a second later than they could. Their instances are up
@@ -147,7 +154,7 @@
 async fn an_added_engines_weights_are_fetched_while_it_starts() {
     let mut fixture = WeightsFixture::start(2, true).await;
     fixture.wait_until_loaded(1).await;
-    let before = fixture.origin.given.get();
+    let before = fixture.origin.chunks_sent.get();
     let target = fixture.unused_target().await;
     let engine = Rc::new(ScriptedEngine::default());
     fixture.add_at(engine.clone(), target).await;
@@ -156,7 +163,10 @@
     let listener = tokio::net::TcpListener::bind(target).await.expect("the port is still free");
     engine.serve_at(listener);
     fixture.wait_until_loaded(1).await;
-    assert!(fixture.origin.given.get() < before + CHUNKS, "peers must provide some of the chunks");
+    assert!(
+        fixture.origin.chunks_sent.get() < before + CHUNKS,
+        "peers must provide some of the chunks"
+    );
 }
 
 /// Guards against seconds without service after an outage of the origin. Its link is busy, so that
@@ -167,11 +177,11 @@
 async fn few_agents_request_digests_from_an_origin_with_a_busy_link() {
     let fixture = WeightsFixture::start(12, true).await;
     fixture.wait_until_loaded(1).await;
-    fixture.origin.list_delay.set(Duration::from_millis(800));
-    let before = fixture.origin.lists_given.get();
+    fixture.origin.digest_list_delay.set(Duration::from_millis(800));
+    let before = fixture.origin.digest_lists_sent.get();
     fixture.publish(2).await;
     fixture.wait_until_loaded(2).await;
-    let lists = fixture.origin.lists_given.get() - before;
+    let lists = fixture.origin.digest_lists_sent.get() - before;
     assert!(lists <= 9, "the origin sent {lists} digest lists for 12 agents");
 }
 
@@ -181,7 +191,7 @@
 #[actix_rt::test]
 async fn staged_chunks_are_not_fetched_from_an_agent_that_started_too() {
     let mut fixture = WeightsFixture::start(0, true).await;
-    let (engine, target) = ScriptedEngine::start(fixture.fleet.host()).await;
+    let (engine, target) = ScriptedEngine::start(fixture.fleet.unused_host()).await;
     engine.stage(1);
     fixture.add_at(engine, target).await;
     let target = fixture.unused_target().await;
--- a/tests/all/fleet/weights_bed.rs
+++ b/tests/all/fleet/weights_bed.rs
@@ -1,7 +1,7 @@
 //! Test fixture: a fleet whose targets are scripted engines with agents, and an origin of weights.
 
 use super::{
-    bed::{FleetBed, dialects, usual_config},
+    bed::{FleetBed, default_config, dialects},
     engines::{CHUNKS, ScriptedEngine, ScriptedOrigin},
 };
 use actix_rt::Arbiter;
@@ -20,7 +20,7 @@
 }
 
 fn config(origin: SocketAddr, resumable: bool) -> Value {
-    let mut config = usual_config(2);
+    let mut config = default_config(2);
     config["services"].as_array_mut().expect("a list").push(json!({
         "name": "runners", "maxConnections": 100,
         "engine": {"slots": 4, "models": [{"name": "chat"}], "chunks": CHUNKS, "chunkBytes": 1}
@@ -36,10 +36,10 @@
     /// Starts `count` engines with agents. Until a version is published they load version 1.
     pub(super) async fn start(count: usize, resumable: bool) -> Self {
         let mut fleet = FleetBed::start().await;
-        let (origin, address) = ScriptedOrigin::start(fleet.host()).await;
+        let (origin, address) = ScriptedOrigin::start(fleet.unused_host()).await;
         let mut this =
             Self { fleet, origin, engines: Vec::new(), targets: Vec::new(), agents: Vec::new() };
-        this.fleet.replace(2, &config(address, resumable)).await;
+        this.fleet.replace_config(2, &config(address, resumable)).await;
         this.fleet.wait_for_version(2).await;
         for _ in 0..count {
             this.add().await;
@@ -56,10 +56,10 @@
             this.add().await;
         }
         this.wait_until_loaded(1).await;
-        this.origin.lost_from.set(Some(3));
-        let before = this.origin.given.get();
+        this.origin.unreachable_from.set(Some(3));
+        let before = this.origin.chunks_sent.get();
         this.publish(2).await;
-        this.fleet.wait_until(|| this.origin.given.get() >= before + CHUNKS).await;
+        this.fleet.wait_until(|| this.origin.chunks_sent.get() >= before + CHUNKS).await;
         // Versions must be published so far apart that loading the superseded one is worthwhile.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         this
@@ -70,21 +70,21 @@
         let this = Self::start(count, true).await;
         this.wait_until_loaded(1).await;
         let engine = this.engines[0].clone();
-        engine.withhold.set(1);
+        engine.orders_to_withhold.set(1);
         this.publish(2).await;
-        this.fleet.wait_until(|| engine.withheld_count() == 1).await;
+        this.fleet.wait_until(|| engine.withheld_order_count() == 1).await;
         (this, engine)
     }
 
     pub(super) async fn add(&mut self) {
-        let host = self.fleet.host();
+        let host = self.fleet.unused_host();
         let (engine, target) = ScriptedEngine::start(host).await;
         self.add_at(engine, target).await;
     }
 
     /// Address of a target that does not listen yet.
     pub(super) async fn unused_target(&mut self) -> SocketAddr {
-        let host = self.fleet.host();
+        let host = self.fleet.unused_host();
         let listener = tokio::net::TcpListener::bind((host, 0)).await.expect("a free port");
         listener.local_addr().expect("bound")
     }
@@ -156,7 +156,7 @@
     /// Checks that every order so far found all chunks of its version staged intact.
     pub(super) fn assert_complete_loads(&self) {
         for engine in &self.engines {
-            let bad = engine.bad_orders.get();
+            let bad = engine.invalid_loads.get();
             assert_eq!(
                 bad,
                 0,
