--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     attempt::{self, AttemptFailure, AttemptTerms, OpenAnswer},
-    dialect::RequestTerms,
+    dialect::RequestMetadata,
     dispatch::{self, PlaceCall, PlaceGuard, PlaceReply},
     error_response::{ErrorKind, ErrorResponse},
     relay::{self, RelayEnd},
@@ -50,7 +50,7 @@
 ) -> AfterRequest {
     shared.metrics.requests.inc();
     let keeps = head.keeps_alive();
-    let terms = shared.dialect.read_terms(&head);
+    let terms = shared.dialect.read_request_metadata(&head);
     let id = terms.id.clone();
     if shared.routes().is_none() && !await_config(shared, caller, &terms).await {
         return AfterRequest::Abort;
@@ -63,7 +63,7 @@
         Ok(after) => after,
         Err(refusal) => {
             if refusal.retry_after.is_some() {
-                shared.note_return(&request.route);
+                shared.record_rejected(&request.route);
             }
             answer_refusal(shared, caller, &refusal, keeps, &id).await
         }
@@ -79,14 +79,14 @@
 async fn await_config(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
-    terms: &RequestTerms,
+    terms: &RequestMetadata,
 ) -> bool {
     let limit = shared.options.waiting.outage_limit;
     let limit = terms.time_left.map_or(limit, |left| left.min(limit));
     tokio::select! {
-        _ = tokio::time::timeout(limit, shared.await_routes()) => true,
+        _ = tokio::time::timeout(limit, shared.wait_for_routes()) => true,
         () = caller.closed(attempt::SENT_AHEAD) => {
-            shared.metrics.callers_left.inc();
+            shared.metrics.callers_disconnected.inc();
             tracing::info!(request_id = %terms.id, "the caller left before there was a configuration");
             false
         }
@@ -96,7 +96,7 @@
 fn admit(
     shared: &GatewayShared,
     head: RequestHead,
-    terms: RequestTerms,
+    terms: RequestMetadata,
     body: Bytes,
     received_at: Instant,
 ) -> Result<RequestState, ErrorResponse> {
@@ -107,14 +107,14 @@
         .routes()
         .ok_or_else(|| ErrorResponse::later(ErrorKind::NoConfig, RETURN_NO_CONFIG))?;
     let route = find_route(&routes, &head)?;
-    let holder = match routes.authorise(&route, terms.key.as_deref()) {
+    let holder = match routes.authorise(&route, terms.api_key.as_deref()) {
         Ok(holder) => holder.cloned(),
         Err(AccessError::MissingKey) => return Err(ErrorResponse::new(ErrorKind::MissingKey)),
         Err(AccessError::UnknownKey) => return Err(ErrorResponse::new(ErrorKind::UnknownKey)),
     };
     let service = route.destination(rand::random()).clone();
-    shared.note_request(&service);
-    let tried_before = shared.tried_before(&route, &terms);
+    shared.record_request(&service);
+    let tried_before = shared.time_spent_retrying(&route, &terms);
     let limit = terms.time_left.map_or(route.timeout, |left| left.min(route.timeout));
     Ok(RequestState {
         head,
@@ -263,7 +263,7 @@
 
 /// How many targets the request may reach.
 fn most_arrivals(shared: &GatewayShared, request: &RequestState) -> u32 {
-    request.route.max_attempts.min(shared.options.most_attempts)
+    request.route.max_attempts.min(shared.options.max_attempts)
 }
 
 fn give_up(request: &RequestState, failure: AttemptFailure) -> Result<AfterRequest, ErrorResponse> {
@@ -277,7 +277,7 @@
 }
 
 fn caller_left(shared: &GatewayShared, request: &RequestState) -> AfterRequest {
-    shared.metrics.callers_left.inc();
+    shared.metrics.callers_disconnected.inc();
     tracing::info!(
         request_id = %request.terms.id,
         elapsed_millis = request.received_at.elapsed().as_millis() as u64,
@@ -294,7 +294,7 @@
     request: &RequestState,
     tried: &[TargetId],
 ) -> Option<Result<PlaceGuard, ErrorResponse>> {
-    let limits = request.limits(shared.options.callers_stay);
+    let limits = request.limits(shared.options.stream_idle_timeout);
     let is_first = tried.is_empty();
     let call = PlaceCall {
         service: &request.service,
@@ -399,7 +399,8 @@
     if !may_retry {
         return request.deadline;
     }
-    let patience = request.limits(shared.options.callers_stay).attempt_deadline(Instant::now());
+    let patience =
+        request.limits(shared.options.stream_idle_timeout).attempt_deadline(Instant::now());
     let model = request.terms.model.as_ref();
     let dispatch = shared.dispatch.borrow();
     // Failure guarded: a request waits in a full engine until after the bound and begins on old
