--- a/crates/bench/src/slopes/configurations.rs
+++ b/crates/bench/src/slopes/configurations.rs
@@ -35,7 +35,7 @@
 }
 
 fn encoded(version: u64, routes: usize, changed: usize) -> anyhow::Result<Vec<u8>> {
-    let raw = PlatformControl.read_config(&text(version, routes, changed));
+    let raw = PlatformControl.parse_config(&text(version, routes, changed));
     let config = ServingConfig::try_from(raw.map_err(anyhow::Error::msg)?)?;
     Ok(postcard::to_stdvec(&config)?)
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -231,7 +231,7 @@
         let log_address = self.peer_address(LOG_PORT);
         let feed_address = self.peer_address(FEED_PORT);
         let listeners = RegistrarListeners {
-            calls: self.bind(control.call_address)?,
+            http: self.bind(control.call_address)?,
             peers: self.bind(log_address)?,
             feeds: self.bind(feed_address)?,
             loads: self.bind_datagrams(FEED_PORT)?,
--- a/crates/registrar/src/dialect.rs
+++ b/crates/registrar/src/dialect.rs
@@ -8,7 +8,7 @@
 
 /// A call from outside.
 #[derive(Clone, Debug)]
-pub enum ControlCall {
+pub enum ControlRequest {
     /// A target announces itself.
     Announce(TargetRecord),
     /// A target leaves.
@@ -23,7 +23,7 @@
     /// An operator reads it.
     ReadConfig,
     /// An operator names a version of a model.
-    NameVersion {
+    PublishVersion {
         /// The model.
         model: ModelName,
         /// The version.
@@ -33,7 +33,7 @@
 
 /// A call that cannot be understood.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum CallFault {
+pub enum RequestError {
     /// No such call.
     #[error("no such call")]
     Unknown,
@@ -44,7 +44,7 @@
 
 /// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ControlReply {
+pub enum ControlResponse {
     /// Done.
     Done,
     /// The configuration, as it was accepted.
@@ -66,13 +66,17 @@
     /// Reads a call.
     ///
     /// # Errors
-    /// See [`CallFault`].
-    fn read_call(&self, head: &RequestHead, body: &[u8]) -> Result<ControlCall, CallFault>;
+    /// See [`RequestError`].
+    fn parse_request(
+        &self,
+        head: &RequestHead,
+        body: &[u8],
+    ) -> Result<ControlRequest, RequestError>;
     /// Reads a configuration as an operator sent it.
     ///
     /// # Errors
     /// Says what cannot be read.
-    fn read_config(&self, content: &[u8]) -> Result<RawServing, String>;
+    fn parse_config(&self, content: &[u8]) -> Result<RawServing, String>;
     /// Status, reason phrase and body of an answer.
-    fn write_reply(&self, reply: &ControlReply) -> (u16, &'static str, Bytes);
+    fn encode_response(&self, reply: &ControlResponse) -> (u16, &'static str, Bytes);
 }
--- a/crates/registrar/src/front.rs
+++ b/crates/registrar/src/front.rs
@@ -1,7 +1,7 @@
 //! The calls of targets and operators over HTTP.
 
 use crate::{
-    dialect::{CallFault, ControlCall, ControlReply},
+    dialect::{ControlRequest, ControlResponse, RequestError},
     shared::RegistrarShared,
 };
 use bytes::Bytes;
@@ -43,7 +43,7 @@
             Ok(Err(ReadError::BodyTooLarge)) => {
                 tracing::info!(path = head.path(), limit = MAX_BODY, "a call is too large");
                 shared.metrics.refused_malformed.inc();
-                if write(&shared, &mut connection, &ControlReply::TooLarge).await.is_ok() {
+                if write(&shared, &mut connection, &ControlResponse::TooLarge).await.is_ok() {
                     connection.close().await;
                 }
                 return;
@@ -60,33 +60,33 @@
 async fn write(
     shared: &RegistrarShared,
     connection: &mut HttpConnection,
-    reply: &ControlReply,
+    reply: &ControlResponse,
 ) -> io::Result<()> {
-    let (status, phrase, body) = shared.dialect.write_reply(reply);
+    let (status, phrase, body) = shared.dialect.encode_response(reply);
     let mut writer = HeadWriter::response(status, phrase.as_bytes());
     writer.text("Content-Type", "application/json");
-    if *reply == ControlReply::TooLarge {
+    if *reply == ControlResponse::TooLarge {
         writer.text("Connection", "close");
     }
     connection.write(&writer.finish_with(&body)).await
 }
 
-async fn answer(shared: &Rc<RegistrarShared>, head: &RequestHead, body: Bytes) -> ControlReply {
-    let call = match shared.dialect.read_call(head, &body) {
+async fn answer(shared: &Rc<RegistrarShared>, head: &RequestHead, body: Bytes) -> ControlResponse {
+    let call = match shared.dialect.parse_request(head, &body) {
         Ok(call) => call,
-        Err(CallFault::Unknown) => return ControlReply::Unknown,
-        Err(fault @ CallFault::Malformed(_)) => {
+        Err(RequestError::Unknown) => return ControlResponse::Unknown,
+        Err(fault @ RequestError::Malformed(_)) => {
             tracing::info!(path = head.path(), %fault, "a call was refused");
             shared.metrics.refused_malformed.inc();
-            return ControlReply::Invalid(fault.to_string());
+            return ControlResponse::Invalid(fault.to_string());
         }
     };
     match call {
-        ControlCall::Announce(record) => announce(shared, record),
-        ControlCall::Leave { name, incarnation } => leave(shared, name, incarnation),
-        ControlCall::ReplaceConfig(raw) => replace(shared, *raw, &body).await,
-        ControlCall::ReadConfig => read(shared).await,
-        ControlCall::NameVersion { model, version } => {
+        ControlRequest::Announce(record) => announce(shared, record),
+        ControlRequest::Leave { name, incarnation } => leave(shared, name, incarnation),
+        ControlRequest::ReplaceConfig(raw) => replace(shared, *raw, &body).await,
+        ControlRequest::ReadConfig => read(shared).await,
+        ControlRequest::PublishVersion { model, version } => {
             tracing::info!(%model, version, "a version is named");
             submit(shared, CatalogCommand::NameVersion { model, version }).await
         }
@@ -96,17 +96,17 @@
 /// Failure guarded: a member that is cut off from the entries acknowledges that a target is
 /// draining, and nobody else ever hears of it. It shows as requests at a target that has left. A
 /// member whose feed no entry reads sends announcements elsewhere.
-fn isolation(shared: &RegistrarShared) -> Option<ControlReply> {
+fn isolation(shared: &RegistrarShared) -> Option<ControlResponse> {
     if shared.entries.borrow().iter().next().is_some() {
         return None;
     }
     shared.metrics.refused_isolated.inc();
-    Some(ControlReply::Unavailable("no entry reads this member's feed"))
+    Some(ControlResponse::Unavailable("no entry reads this member's feed"))
 }
 
 /// Refuses a target of a service that the configuration in force does not have. One that leaves is
 /// heard all the same, since its service may have been taken out before it.
-fn unknown_service(shared: &RegistrarShared, record: &TargetRecord) -> Option<ControlReply> {
+fn unknown_service(shared: &RegistrarShared, record: &TargetRecord) -> Option<ControlResponse> {
     let applied = shared.applied.borrow();
     let is_known =
         applied.as_ref().is_none_or(|config| config.services.contains_key(&record.service));
@@ -115,10 +115,10 @@
     }
     tracing::info!(target_id = %record.id, service = %record.service, "a target of an unknown service");
     shared.metrics.refused_malformed.inc();
-    Some(ControlReply::Invalid(format!("unknown service {}", record.service)))
+    Some(ControlResponse::Invalid(format!("unknown service {}", record.service)))
 }
 
-fn announce(shared: &RegistrarShared, record: TargetRecord) -> ControlReply {
+fn announce(shared: &RegistrarShared, record: TargetRecord) -> ControlResponse {
     if let Some(refusal) = isolation(shared) {
         return refusal;
     }
@@ -141,20 +141,24 @@
             tracing::info!(target_id = %id, sequence, "an announcement names another service or address");
             shared.metrics.refused_malformed.inc();
             let fault = "the target lives under another service or address";
-            return ControlReply::Invalid(fault.to_owned());
+            return ControlResponse::Invalid(fault.to_owned());
         }
-        AnnounceOutcome::Full => return ControlReply::Unavailable("too many targets"),
+        AnnounceOutcome::Full => return ControlResponse::Unavailable("too many targets"),
     }
     if changed {
         tracing::info!(target_id = %id, ?state, sequence, "a target announced itself");
         shared.publish();
     }
-    ControlReply::Done
+    ControlResponse::Done
 }
 
 /// Takes in that a target leaves. One that does not say which run it is means the latest that any
 /// member has heard of.
-fn leave(shared: &RegistrarShared, name: String, incarnation: Option<Incarnation>) -> ControlReply {
+fn leave(
+    shared: &RegistrarShared,
+    name: String,
+    incarnation: Option<Incarnation>,
+) -> ControlResponse {
     if let Some(refusal) = isolation(shared) {
         return refusal;
     }
@@ -169,18 +173,22 @@
     drop(registry);
     tracing::info!(target_id = %id, ?outcome, "a target leaves");
     shared.publish();
-    ControlReply::Done
+    ControlResponse::Done
 }
 
-async fn replace(shared: &RegistrarShared, raw: RawServing, content: &[u8]) -> ControlReply {
+async fn replace(shared: &RegistrarShared, raw: RawServing, content: &[u8]) -> ControlResponse {
     let version = raw.version;
     if let Err(error) = ServingConfig::try_from(raw) {
         tracing::info!(version, %error, "a configuration was refused");
         shared.metrics.changes_invalid.inc();
-        return ControlReply::Invalid(error.to_string());
+        return ControlResponse::Invalid(error.to_string());
     }
     let reply = submit_config(shared, version, content).await;
-    tracing::info!(version, acknowledged = reply == ControlReply::Done, "a configuration was sent");
+    tracing::info!(
+        version,
+        acknowledged = reply == ControlResponse::Done,
+        "a configuration was sent"
+    );
     reply
 }
 
@@ -190,7 +198,7 @@
 /// Load pattern: every change of a long configuration goes to all members, most of them in other
 /// regions, and live answers wait behind it. For 1,700 routes a change of one of them takes 52 bytes in
 /// the log, the whole 5.4 KB, the text as sent 329 KB (`egretseam-bench slopes`).
-async fn submit_config(shared: &RegistrarShared, version: u64, content: &[u8]) -> ControlReply {
+async fn submit_config(shared: &RegistrarShared, version: u64, content: &[u8]) -> ControlResponse {
     let until = Instant::now() + COMMIT_LIMIT;
     let difference = {
         let state = shared.control.state();
@@ -217,7 +225,7 @@
 
 /// Carries a change out through the log. Every such change may be sent again, so a lost outcome
 /// is told as "try again".
-async fn submit(shared: &RegistrarShared, command: CatalogCommand) -> ControlReply {
+async fn submit(shared: &RegistrarShared, command: CatalogCommand) -> ControlResponse {
     acknowledge(shared, try_submit(shared, command, COMMIT_LIMIT).await)
 }
 
@@ -232,33 +240,33 @@
 fn acknowledge(
     shared: &RegistrarShared,
     outcome: Result<CatalogReply, SubmitError>,
-) -> ControlReply {
+) -> ControlResponse {
     match outcome {
         Ok(CatalogReply::OtherBase) => {
             tracing::warn!("a configuration could not be restored by the members");
             shared.metrics.changes_unavailable.inc();
-            ControlReply::Unavailable("the change could not be applied")
+            ControlResponse::Unavailable("the change could not be applied")
         }
         Ok(_) => {
             shared.metrics.changes.inc();
-            ControlReply::Done
+            ControlResponse::Done
         }
         Err(error) => {
             tracing::warn!(%error, "a change was not acknowledged");
             shared.metrics.changes_unavailable.inc();
-            ControlReply::Unavailable("no quorum in time")
+            ControlResponse::Unavailable("no quorum in time")
         }
     }
 }
 
-async fn read(shared: &RegistrarShared) -> ControlReply {
+async fn read(shared: &RegistrarShared) -> ControlResponse {
     if shared.control.confirm().await.is_none() {
         shared.metrics.reads_unavailable.inc();
-        return ControlReply::Unavailable("the newest configuration cannot be confirmed");
+        return ControlResponse::Unavailable("the newest configuration cannot be confirmed");
     }
     let state = shared.control.state();
     match state.serving() {
-        Some(document) => ControlReply::Config(Bytes::copy_from_slice(&document.content)),
-        None => ControlReply::NoConfig,
+        Some(document) => ControlResponse::Config(Bytes::copy_from_slice(&document.content)),
+        None => ControlResponse::NoConfig,
     }
 }
--- a/crates/registrar/src/lib.rs
+++ b/crates/registrar/src/lib.rs
@@ -19,7 +19,7 @@
 mod shared;
 
 pub use crate::{
-    dialect::{CallFault, ControlCall, ControlDialect, ControlReply},
+    dialect::{ControlDialect, ControlRequest, ControlResponse, RequestError},
     options::{RegistrarListeners, RegistrarOptions},
     runtime::{RegistrarRuntime, StartError},
 };
--- a/crates/registrar/src/options.rs
+++ b/crates/registrar/src/options.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct RegistrarListeners {
     /// For targets and operators.
-    pub calls: TcpListener,
+    pub http: TcpListener,
     /// For the other control members' log.
     pub peers: TcpListener,
     /// For feeds.
--- a/crates/registrar/src/publish.rs
+++ b/crates/registrar/src/publish.rs
@@ -43,7 +43,7 @@
         };
         document.content.clone()
     };
-    let checked = shared.dialect.read_config(&content);
+    let checked = shared.dialect.parse_config(&content);
     let checked =
         checked.and_then(|raw| ServingConfig::try_from(raw).map_err(|error| error.to_string()));
     let config = match checked {
--- a/crates/registrar/src/runtime.rs
+++ b/crates/registrar/src/runtime.rs
@@ -51,9 +51,7 @@
         let feed = FeedHandler::new(shared.clone());
         let feeds = serve_feed(listeners.feeds, secret, RpcOptions::default(), feed)?;
         let serving = Rc::downgrade(&shared);
-        spawn_accept(listeners.calls, move |stream| {
-            Some(front::serve(serving.upgrade()?, stream))
-        })?;
+        spawn_accept(listeners.http, move |stream| Some(front::serve(serving.upgrade()?, stream)))?;
         actix_rt::spawn(publish::watch_log(Rc::downgrade(&shared)));
         actix_rt::spawn(publish::expire(Rc::downgrade(&shared)));
         actix_rt::spawn(mirror::mirror_all(Rc::downgrade(&shared)));
--- a/tests/all/serving_config.rs
+++ b/tests/all/serving_config.rs
@@ -31,7 +31,7 @@
 }
 
 pub(crate) fn check(config: &Value) -> Result<ServingConfig, String> {
-    let raw = PlatformControl.read_config(config.to_string().as_bytes())?;
+    let raw = PlatformControl.parse_config(config.to_string().as_bytes())?;
     ServingConfig::try_from(raw).map_err(|error| error.to_string())
 }
 
@@ -86,7 +86,7 @@
     let complete = config(2, json!([route("one", "a.example", "/x/")])).to_string();
     for length in [0, 1, complete.len() / 2, complete.len() - 1] {
         assert!(
-            PlatformControl.read_config(&complete.as_bytes()[..length]).is_err(),
+            PlatformControl.parse_config(&complete.as_bytes()[..length]).is_err(),
             "truncated to {length} bytes"
         );
     }
@@ -96,7 +96,7 @@
 fn routes_whose_hosts_differ_only_by_case_are_duplicates() {
     let routes = json!([route("one", "A.example", "/x/"), route("two", "a.EXAMPLE", "/x/")]);
     let raw = PlatformControl
-        .read_config(config(1, routes).to_string().as_bytes())
+        .parse_config(config(1, routes).to_string().as_bytes())
         .expect("a readable configuration");
     let error = ServingConfig::try_from(raw).expect_err("two routes with one host and prefix");
     assert_eq!(error, ConfigError::DuplicateRoute("one".to_owned(), "two".to_owned()));
