--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     error_response::{ErrorKind, ErrorResponse},
-    forward::{self, AfterRequest},
+    forward::{self, ConnectionAction},
     shared::{GatewayShared, StopPhase},
 };
 use bytes::Bytes;
@@ -47,97 +47,97 @@
         }
     };
     loop {
-        match next_request(&shared, &mut caller).await {
-            AfterRequest::Keep => {}
-            AfterRequest::Close => return caller.close().await,
-            AfterRequest::Abort => return caller.abort(),
+        match serve_next_request(&shared, &mut caller).await {
+            ConnectionAction::Keep => {}
+            ConnectionAction::Close => return caller.close().await,
+            ConnectionAction::Reset => return caller.abort(),
         }
     }
 }
 
-async fn next_request(shared: &Rc<GatewayShared>, caller: &mut HttpConnection) -> AfterRequest {
+async fn serve_next_request(shared: &Rc<GatewayShared>, caller: &mut HttpConnection) -> ConnectionAction {
     let limits =
         shared.routes().map_or_else(CallerLimits::default, |routes| routes.config().limits);
     let mut stop = shared.stop.subscribe();
     let waiting = tokio::time::timeout(limits.idle_timeout, caller.wait_for_message());
-    let arrived = tokio::select! {
+    let readable = tokio::select! {
         biased;
-        arrived = waiting => arrived,
+        readable = waiting => readable,
         // An idle connection of a stopping entry is closed; a request that crosses the close was
         // not read, which callers know.
-        _ = stop.wait_for(|phase| *phase == StopPhase::Refusing) => return AfterRequest::Close,
+        _ = stop.wait_for(|phase| *phase == StopPhase::Refusing) => return ConnectionAction::Close,
     };
-    if !matches!(arrived, Ok(Ok(true))) {
-        return AfterRequest::Close;
+    if !matches!(readable, Ok(Ok(true))) {
+        return ConnectionAction::Close;
     }
     let received_at = Instant::now();
     let read = caller.read_request(limits.max_head_bytes);
     let head = match tokio::time::timeout(limits.head_timeout, read).await {
         Ok(Ok(Some(head))) => head,
-        Ok(Ok(None)) => return AfterRequest::Close,
-        Ok(Err(error)) => return refuse_reading(shared, caller, &error).await,
-        Err(_) => return refuse(shared, caller, ErrorKind::SlowCaller).await,
+        Ok(Ok(None)) => return ConnectionAction::Close,
+        Ok(Err(error)) => return send_read_error(shared, caller, &error).await,
+        Err(_) => return send_error(shared, caller, ErrorKind::SlowCaller).await,
     };
     let _progress = CountGuard::new(&shared.in_progress);
     let body = match read_body(caller, &head, &limits).await {
         Ok(body) => body,
-        Err(BodyFault::Reading(error)) => return refuse_reading(shared, caller, &error).await,
-        Err(BodyFault::Slow) => return refuse(shared, caller, ErrorKind::SlowCaller).await,
+        Err(BodyError::Read(error)) => return send_read_error(shared, caller, &error).await,
+        Err(BodyError::TimedOut) => return send_error(shared, caller, ErrorKind::SlowCaller).await,
     };
     forward::serve(shared, caller, head, body, received_at).await
 }
 
-enum BodyFault {
-    Reading(ReadError),
-    Slow,
+enum BodyError {
+    Read(ReadError),
+    TimedOut,
 }
 
 async fn read_body(
     caller: &mut HttpConnection,
     head: &RequestHead,
     limits: &CallerLimits,
-) -> Result<Bytes, BodyFault> {
+) -> Result<Bytes, BodyError> {
     let length = match head.framing {
         BodyFraming::Empty | BodyFraming::Length(0) => return Ok(Bytes::new()),
         BodyFraming::Length(length) => length,
         BodyFraming::Chunked | BodyFraming::UntilClose => 0,
     };
     if length > limits.max_body_bytes as u64 {
-        return Err(BodyFault::Reading(ReadError::BodyTooLarge));
+        return Err(BodyError::Read(ReadError::BodyTooLarge));
     }
     if head.headers.has_token("expect", "100-continue") {
         let interim = caller.write(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        interim.map_err(|error| BodyFault::Reading(error.into()))?;
+        interim.map_err(|error| BodyError::Read(error.into()))?;
     }
     let limit = BODY_TIMEOUT + Duration::from_secs(length >> 20);
     let read = caller.read_body(BodyReader::new(head.framing), limits.max_body_bytes);
     match tokio::time::timeout(limit, read).await {
         Ok(Ok(body)) => Ok(body),
-        Ok(Err(error)) => Err(BodyFault::Reading(error)),
-        Err(_) => Err(BodyFault::Slow),
+        Ok(Err(error)) => Err(BodyError::Read(error)),
+        Err(_) => Err(BodyError::TimedOut),
     }
 }
 
-async fn refuse_reading(
+async fn send_read_error(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
     error: &ReadError,
-) -> AfterRequest {
+) -> ConnectionAction {
     let kind = match error {
         ReadError::HeadTooLarge | ReadError::Head(HeadError::TooManyFields) => {
             ErrorKind::HeadTooLarge
         }
         ReadError::BodyTooLarge => ErrorKind::BodyTooLarge,
         ReadError::Head(_) => ErrorKind::Malformed,
-        ReadError::Closed | ReadError::Io(_) => return AfterRequest::Abort,
+        ReadError::Closed | ReadError::Io(_) => return ConnectionAction::Reset,
     };
-    refuse(shared, caller, kind).await
+    send_error(shared, caller, kind).await
 }
 
-async fn refuse(
+async fn send_error(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
     kind: ErrorKind,
-) -> AfterRequest {
-    forward::answer_refusal(shared, caller, &ErrorResponse::new(kind), false, "").await
+) -> ConnectionAction {
+    forward::send_error(shared, caller, &ErrorResponse::new(kind), false, "").await
 }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -20,7 +20,7 @@
     tried: Vec<TargetId>,
     late: bool,
     first_byte_deadline: Option<Instant>,
-    sender: oneshot::Sender<PlaceGuard>,
+    sender: oneshot::Sender<SlotGuard>,
 }
 
 /// Tables of one entry.
@@ -47,22 +47,22 @@
 }
 
 /// A place at a target, given back when dropped.
-pub(crate) struct PlaceGuard {
+pub(crate) struct SlotGuard {
     shared: Rc<GatewayShared>,
     service: ServiceName,
     pub(crate) target: TargetId,
     pub(crate) address: SocketAddr,
-    ended: bool,
+    released: bool,
 }
 
-impl PlaceGuard {
+impl SlotGuard {
     /// Gives the place back and notes how the attempt went.
     pub(crate) fn finish(mut self, outcome: AttemptOutcome) {
-        self.end(outcome);
+        self.release(outcome);
     }
 
-    fn end(&mut self, outcome: AttemptOutcome) {
-        if std::mem::replace(&mut self.ended, true) {
+    fn release(&mut self, outcome: AttemptOutcome) {
+        if std::mem::replace(&mut self.released, true) {
             return;
         }
         let now = Instant::now();
@@ -71,33 +71,33 @@
         if ejected {
             tracing::info!(target_id = %self.target, ?outcome, "a target was ejected");
         }
-        pump(&self.shared, &self.service);
+        dispatch_waiting(&self.shared, &self.service);
     }
 }
 
-impl Drop for PlaceGuard {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
-        self.end(AttemptOutcome::Abandoned);
+        self.release(AttemptOutcome::Abandoned);
     }
 }
 
 /// A request that wants a place.
 #[derive(Clone, Copy)]
-pub(crate) struct PlaceCall<'a> {
+pub(crate) struct SlotRequest<'a> {
     pub(crate) service: &'a ServiceName,
     pub(crate) model: Option<&'a ModelName>,
     pub(crate) tried: &'a [TargetId],
-    pub(crate) claim: WaitUrgency,
+    pub(crate) urgency: WaitUrgency,
     /// See [`PlacementQuery::first_byte_deadline`].
     pub(crate) first_byte_deadline: Option<Instant>,
     /// When waiting makes no sense any more.
-    pub(crate) latest: Instant,
+    pub(crate) wait_deadline: Instant,
 }
 
 /// What a call for a place comes to.
-pub(crate) enum PlaceReply {
+pub(crate) enum SlotReply {
     /// A place.
-    Placed(PlaceGuard),
+    Acquired(SlotGuard),
     /// Nothing free in time; come back after this.
     Full(Duration),
     /// No target can take it; come back after this.
@@ -105,140 +105,140 @@
 }
 
 /// A place for a request: at once if one is free and nobody waits for it, else after a wait.
-pub(crate) async fn place(shared: &Rc<GatewayShared>, call: &PlaceCall<'_>) -> PlaceReply {
-    let waiting = match place_or_wait(shared, call) {
+pub(crate) async fn acquire_slot(shared: &Rc<GatewayShared>, request: &SlotRequest<'_>) -> SlotReply {
+    let pending = match acquire_or_enqueue(shared, request) {
         Ok(reply) => return reply,
-        Err(waiting) => waiting,
+        Err(pending) => pending,
     };
-    let began = Instant::now();
-    let WaitingPlace { receiver, give_up_at, withdrawal } = waiting;
-    let placed = tokio::time::timeout_at(give_up_at, receiver).await;
-    shared.metrics.wait_seconds.observe(began.elapsed().as_secs_f64());
-    drop(withdrawal);
-    match placed {
-        Ok(Ok(guard)) => PlaceReply::Placed(guard),
-        Ok(Err(_)) | Err(_) => full(shared, call.service),
+    let wait_started_at = Instant::now();
+    let PendingSlot { receiver, give_up_at, queue_guard } = pending;
+    let slot = tokio::time::timeout_at(give_up_at, receiver).await;
+    shared.metrics.wait_seconds.observe(wait_started_at.elapsed().as_secs_f64());
+    drop(queue_guard);
+    match slot {
+        Ok(Ok(guard)) => SlotReply::Acquired(guard),
+        Ok(Err(_)) | Err(_) => reject_full(shared, request.service),
     }
 }
 
-struct WaitingPlace {
-    receiver: oneshot::Receiver<PlaceGuard>,
+struct PendingSlot {
+    receiver: oneshot::Receiver<SlotGuard>,
     give_up_at: Instant,
-    withdrawal: Withdrawal,
+    queue_guard: QueueGuard,
 }
 
 /// Takes a request out of its queue when its caller leaves or its wait ends.
-struct Withdrawal {
+struct QueueGuard {
     shared: Rc<GatewayShared>,
     service: ServiceName,
     ticket: WaitTicket,
 }
 
-impl Drop for Withdrawal {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         self.shared.dispatch.borrow_mut().queue(&self.service).remove(self.ticket);
     }
 }
 
-fn place_or_wait(
+fn acquire_or_enqueue(
     shared: &Rc<GatewayShared>,
-    call: &PlaceCall<'_>,
-) -> Result<PlaceReply, WaitingPlace> {
+    request: &SlotRequest<'_>,
+) -> Result<SlotReply, PendingSlot> {
     let now = Instant::now();
     let mut dispatch = shared.dispatch.borrow_mut();
-    let need = PlacementQuery {
-        service: call.service,
-        model: call.model,
-        tried: call.tried,
-        late: call.claim.is_late(),
-        first_byte_deadline: call.first_byte_deadline,
+    let query = PlacementQuery {
+        service: request.service,
+        model: request.model,
+        tried: request.tried,
+        late: request.urgency.is_late(),
+        first_byte_deadline: request.first_byte_deadline,
     };
-    let choice = dispatch.targets.choose(&need, now);
-    let nobody_waits = dispatch.queue(call.service).is_empty();
+    let choice = dispatch.targets.choose(&query, now);
+    let queue_is_empty = dispatch.queue(request.service).is_empty();
     let in_outage = choice == PlacementOutcome::NoTarget;
     match choice {
-        PlacementOutcome::NoTarget if !dispatch.targets.expects_capacity(call.service, now) => {
-            let after = dispatch.queue(call.service).retry_after(rand::random());
-            return Ok(PlaceReply::NoTarget(after));
+        PlacementOutcome::NoTarget if !dispatch.targets.expects_capacity(request.service, now) => {
+            let after = dispatch.queue(request.service).retry_after(rand::random());
+            return Ok(SlotReply::NoTarget(after));
         }
-        PlacementOutcome::Target(target) if nobody_waits => {
-            note_placed(dispatch.queue(call.service), call.claim.is_late(), now);
-            if let Some(guard) = hold(shared, &mut dispatch, call.service, target) {
-                return Ok(PlaceReply::Placed(guard));
+        PlacementOutcome::Target(target) if queue_is_empty => {
+            record_placed(dispatch.queue(request.service), request.urgency.is_late(), now);
+            if let Some(guard) = occupy_slot(shared, &mut dispatch, request.service, target) {
+                return Ok(SlotReply::Acquired(guard));
             }
         }
         PlacementOutcome::Target(_) | PlacementOutcome::Full | PlacementOutcome::NoTarget => {}
     }
-    let claim = if in_outage { call.claim.for_outage() } else { call.claim };
+    let urgency = if in_outage { request.urgency.for_outage() } else { request.urgency };
     let (sender, receiver) = oneshot::channel();
-    let request = WaitingRequest {
-        model: call.model.cloned(),
-        tried: call.tried.to_vec(),
-        late: claim.is_late(),
-        first_byte_deadline: call.first_byte_deadline,
+    let waiting_request = WaitingRequest {
+        model: request.model.cloned(),
+        tried: request.tried.to_vec(),
+        late: urgency.is_late(),
+        first_byte_deadline: request.first_byte_deadline,
         sender,
     };
-    let usual = dispatch.targets.median_first_byte(call.service, now);
-    let queue = dispatch.queue(call.service);
-    let limit = if in_outage { queue.outage_limit() } else { queue.wait_limit(&claim, usual) };
-    let give_up_at = (now + limit).min(call.latest);
-    let waits = if in_outage {
-        queue.push_without_prediction(&claim, give_up_at, request)
+    let median_first_byte = dispatch.targets.median_first_byte(request.service, now);
+    let queue = dispatch.queue(request.service);
+    let limit = if in_outage { queue.outage_limit() } else { queue.wait_limit(&urgency, median_first_byte) };
+    let give_up_at = (now + limit).min(request.wait_deadline);
+    let queued = if in_outage {
+        queue.push_without_prediction(&urgency, give_up_at, waiting_request)
     } else {
-        queue.push(&claim, give_up_at, request, now)
+        queue.push(&urgency, give_up_at, waiting_request, now)
     };
-    match waits {
+    match queued {
         Ok(ticket) => {
-            let (shared, service) = (shared.clone(), call.service.clone());
-            let withdrawal = Withdrawal { shared, service, ticket };
-            Err(WaitingPlace { receiver, give_up_at, withdrawal })
+            let (shared, service) = (shared.clone(), request.service.clone());
+            let queue_guard = QueueGuard { shared, service, ticket };
+            Err(PendingSlot { receiver, give_up_at, queue_guard })
         }
         Err(_) => {
             queue.record_rejected(now);
             let after = queue.retry_after(rand::random());
-            Ok(PlaceReply::Full(after))
+            Ok(SlotReply::Full(after))
         }
     }
 }
 
-fn note_placed(queue: &mut WaitQueue<WaitingRequest>, is_late: bool, now: Instant) {
+fn record_placed(queue: &mut WaitQueue<WaitingRequest>, is_late: bool, now: Instant) {
     if is_late { queue.record_late_placed(now) } else { queue.record_placed(now) }
 }
 
-fn full(shared: &GatewayShared, service: &ServiceName) -> PlaceReply {
+fn reject_full(shared: &GatewayShared, service: &ServiceName) -> SlotReply {
     let mut dispatch = shared.dispatch.borrow_mut();
     let queue = dispatch.queue(service);
     queue.record_rejected(Instant::now());
-    PlaceReply::Full(queue.retry_after(rand::random()))
+    SlotReply::Full(queue.retry_after(rand::random()))
 }
 
-fn hold(
+fn occupy_slot(
     shared: &Rc<GatewayShared>,
     dispatch: &mut DispatchState,
     service: &ServiceName,
     target: TargetId,
-) -> Option<PlaceGuard> {
+) -> Option<SlotGuard> {
     let address = dispatch.targets.address(&target)?;
     dispatch.targets.start_attempt(&target, Instant::now());
     let (shared, service) = (shared.clone(), service.clone());
-    Some(PlaceGuard { shared, service, target, address, ended: false })
+    Some(SlotGuard { shared, service, target, address, released: false })
 }
 
 /// Gives free places to those who wait, most urgent first.
-pub(crate) fn pump(shared: &Rc<GatewayShared>, service: &ServiceName) {
-    let mut given = Vec::new();
+pub(crate) fn dispatch_waiting(shared: &Rc<GatewayShared>, service: &ServiceName) {
+    let mut dispatched = Vec::new();
     {
         let now = Instant::now();
         let mut dispatch = shared.dispatch.borrow_mut();
-        while let Some((ticket, target)) = next_place(&mut dispatch, service, now) {
+        while let Some((ticket, target)) = next_dispatch(&mut dispatch, service, now) {
             let Some(request) = dispatch.queue(service).remove(ticket) else { break };
-            note_placed(dispatch.queue(service), ticket.is_late(), now);
-            if let Some(guard) = hold(shared, &mut dispatch, service, target) {
-                given.push((request.sender, guard));
+            record_placed(dispatch.queue(service), ticket.is_late(), now);
+            if let Some(guard) = occupy_slot(shared, &mut dispatch, service, target) {
+                dispatched.push((request.sender, guard));
             }
         }
     }
-    for (sender, guard) in given {
+    for (sender, guard) in dispatched {
         // A receiver that is gone drops the guard, which gives the place to the next.
         sender.send(guard).ok();
     }
@@ -252,25 +252,25 @@
         waiting.map(|(service, _)| service.clone()).collect()
     };
     for service in services {
-        pump(shared, &service);
+        dispatch_waiting(shared, &service);
     }
 }
 
-fn next_place(
+fn next_dispatch(
     dispatch: &mut DispatchState,
     service: &ServiceName,
     now: Instant,
 ) -> Option<(WaitTicket, TargetId)> {
     let queue = dispatch.queues.get(service)?;
     for (ticket, request) in queue.iter() {
-        let need = PlacementQuery {
+        let query = PlacementQuery {
             service,
             model: request.model.as_ref(),
             tried: &request.tried,
             late: request.late,
             first_byte_deadline: request.first_byte_deadline,
         };
-        match dispatch.targets.choose(&need, now) {
+        match dispatch.targets.choose(&query, now) {
             PlacementOutcome::Target(target) => return Some((ticket, target)),
             // One that was refused elsewhere needs a particular target; others may still be served.
             PlacementOutcome::Full | PlacementOutcome::NoTarget if !request.tried.is_empty() => {}
--- a/crates/gateway/src/error_response.rs
+++ b/crates/gateway/src/error_response.rs
@@ -105,7 +105,7 @@
     }
 
     /// Whether the connection cannot be read any further after it.
-    fn ends_connection(self) -> bool {
+    fn closes_connection(self) -> bool {
         matches!(
             self,
             Self::Malformed
@@ -138,24 +138,24 @@
         Self { kind, retry_after: None }
     }
 
-    pub(crate) fn later(kind: ErrorKind, retry_after: Duration) -> Self {
+    pub(crate) fn with_retry_after(kind: ErrorKind, retry_after: Duration) -> Self {
         Self { kind, retry_after: Some(retry_after) }
     }
 
     /// Whether the connection must be closed after it.
-    pub(crate) fn ends_connection(&self) -> bool {
-        self.kind.ends_connection()
+    pub(crate) fn closes_connection(&self) -> bool {
+        self.kind.closes_connection()
     }
 
     /// The whole answer.
-    pub(crate) fn write(&self, close: bool) -> Bytes {
-        let (status, phrase) = self.kind.status();
-        let mut head = HeadWriter::response(status, phrase.as_bytes());
+    pub(crate) fn encode(&self, close: bool) -> Bytes {
+        let (status, reason) = self.kind.status();
+        let mut head = HeadWriter::response(status, reason.as_bytes());
         head.text("Content-Type", "text/plain");
         if let Some(after) = self.retry_after {
             head.text("Retry-After", &format!("{:.2}", after.as_secs_f64()));
         }
-        if close || self.ends_connection() {
+        if close || self.closes_connection() {
             head.text("Connection", "close");
         }
         head.finish_with(self.kind.slug().as_bytes())
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -14,9 +14,9 @@
 
 impl EventBuffer {
     /// Adds bytes; returns the events that are whole now, if any.
-    pub fn push(&mut self, piece: &[u8]) -> Option<Bytes> {
+    pub fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
         let from = self.pending.len().saturating_sub(1);
-        self.pending.extend_from_slice(piece);
+        self.pending.extend_from_slice(chunk);
         let end = memchr::memmem::rfind(&self.pending[from..], b"\n\n")?;
         Some(self.pending.split_to(from + end + 2).freeze())
     }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -2,11 +2,11 @@
 //! caller is told when none succeeds.
 
 use crate::{
-    attempt::{self, AttemptFailure, AttemptTerms, OpenAnswer},
+    attempt::{self, AttemptFailure, AttemptOptions, OpenResponse},
     dialect::RequestTerms,
-    dispatch::{self, PlaceCall, PlaceGuard, PlaceReply},
+    dispatch::{self, SlotRequest, SlotGuard, SlotReply},
     error_response::{ErrorKind, ErrorResponse},
-    relay::{self, RelayEnd},
+    relay::{self, RelayOutcome},
     request::RequestState,
     shared::{GatewayShared, StopPhase},
 };
@@ -19,25 +19,25 @@
 
 /// How long after the last moment for sending to old weights a request is still waited for there;
 /// the rest of the margin before the bound is for the word to reach the engine.
-const LEAVE_SLACK: Duration = Duration::from_millis(200);
+const START_DEADLINE_GRACE: Duration = Duration::from_millis(200);
 /// Most targets that are tried without reaching any of them.
-const MAX_UNREACHED: usize = 4;
+const MAX_UNREACHABLE_TARGETS: usize = 4;
 /// When callers should come back that an entry without configuration rejected.
-const RETURN_NO_CONFIG: Duration = Duration::from_millis(300);
+const RETRY_AFTER_NO_CONFIG: Duration = Duration::from_millis(300);
 /// When callers should come back to another entry.
-const RETURN_STOPPING: Duration = Duration::from_millis(50);
+const RETRY_AFTER_STOPPING: Duration = Duration::from_millis(50);
 /// When callers should come back that targets refused.
-const RETURN_REFUSED: Duration = Duration::from_millis(400);
+const RETRY_AFTER_REJECTED: Duration = Duration::from_millis(400);
 
 /// What becomes of the caller's connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AfterRequest {
+pub(crate) enum ConnectionAction {
     /// It carries the next request.
     Keep,
     /// It is closed in an orderly way.
     Close,
     /// It is reset: the answer broke off, or the caller is gone.
-    Abort,
+    Reset,
 }
 
 /// Serves one request whose body has been read.
@@ -47,25 +47,25 @@
     head: RequestHead,
     body: Bytes,
     received_at: Instant,
-) -> AfterRequest {
+) -> ConnectionAction {
     shared.metrics.requests.inc();
-    let keeps = head.keeps_alive();
+    let keep_alive = head.keeps_alive();
     let terms = shared.dialect.read_terms(&head);
     let id = terms.id.clone();
     if shared.routes().is_none() && !await_config(shared, caller, &terms).await {
-        return AfterRequest::Abort;
+        return ConnectionAction::Reset;
     }
     let mut request = match admit(shared, head, terms, body, received_at) {
         Ok(request) => request,
-        Err(refusal) => return answer_refusal(shared, caller, &refusal, keeps, &id).await,
+        Err(error) => return send_error(shared, caller, &error, keep_alive, &id).await,
     };
-    match attempt_all(shared, caller, &mut request).await {
-        Ok(after) => after,
-        Err(refusal) => {
-            if refusal.retry_after.is_some() {
+    match run_attempts(shared, caller, &mut request).await {
+        Ok(action) => action,
+        Err(error) => {
+            if error.retry_after.is_some() {
                 shared.note_return(&request.route);
             }
-            answer_refusal(shared, caller, &refusal, keeps, &id).await
+            send_error(shared, caller, &error, keep_alive, &id).await
         }
     }
 }
@@ -85,7 +85,7 @@
     let limit = terms.time_left.map_or(limit, |left| left.min(limit));
     tokio::select! {
         _ = tokio::time::timeout(limit, shared.await_routes()) => true,
-        () = caller.closed(attempt::SENT_AHEAD) => {
+        () = caller.closed(attempt::MAX_PIPELINED_BYTES) => {
             shared.metrics.callers_left.inc();
             tracing::info!(request_id = %terms.id, "the caller left before there was a configuration");
             false
@@ -101,11 +101,11 @@
     received_at: Instant,
 ) -> Result<RequestState, ErrorResponse> {
     if shared.phase() >= StopPhase::Refusing {
-        return Err(ErrorResponse::later(ErrorKind::Stopping, RETURN_STOPPING));
+        return Err(ErrorResponse::with_retry_after(ErrorKind::Stopping, RETRY_AFTER_STOPPING));
     }
     let routes = shared
         .routes()
-        .ok_or_else(|| ErrorResponse::later(ErrorKind::NoConfig, RETURN_NO_CONFIG))?;
+        .ok_or_else(|| ErrorResponse::with_retry_after(ErrorKind::NoConfig, RETRY_AFTER_NO_CONFIG))?;
     let route = find_route(&routes, &head)?;
     let holder = match routes.authorise(&route, terms.key.as_deref()) {
         Ok(holder) => holder.cloned(),
@@ -126,13 +126,13 @@
         received_at,
         deadline: received_at + limit,
         tried_before,
-        last_event: None,
-        answering: false,
+        last_event_id: None,
+        response_started: false,
         waited: Duration::ZERO,
-        first_byte: Duration::ZERO,
-        first_event: Duration::ZERO,
+        time_to_first_byte: Duration::ZERO,
+        time_to_first_event: Duration::ZERO,
         longest_pause: Duration::ZERO,
-        passed_at: None,
+        last_forwarded_at: None,
         status: 0,
     })
 }
@@ -144,52 +144,52 @@
 }
 
 /// Makes attempts until one is answered or no further one is allowed.
-async fn attempt_all(
+async fn run_attempts(
     shared: &Rc<GatewayShared>,
     caller: &mut HttpConnection,
     request: &mut RequestState,
-) -> Result<AfterRequest, ErrorResponse> {
+) -> Result<ConnectionAction, ErrorResponse> {
     let mut tried: Vec<TargetId> = Vec::new();
-    let mut arrivals = 0;
-    let mut unreached = 0;
+    let mut reached = 0;
+    let mut unreachable = 0;
     let mut may_have_run = false;
     loop {
-        let began = Instant::now();
-        let found = find_place(shared, caller, request, &tried).await;
-        request.waited += began.elapsed();
-        let placed = match found {
-            Some(Ok(placed)) => placed,
-            Some(Err(refusal)) if !may_have_run => return Err(refusal),
+        let wait_started_at = Instant::now();
+        let acquired = acquire_slot(shared, caller, request, &tried).await;
+        request.waited += wait_started_at.elapsed();
+        let slot = match acquired {
+            Some(Ok(slot)) => slot,
+            Some(Err(error)) if !may_have_run => return Err(error),
             Some(Err(_)) => return give_up(request, AttemptFailure::Broken),
-            None => return Ok(caller_left(shared, request)),
+            None => return Ok(record_caller_left(shared, request)),
         };
-        let terms = AttemptTerms {
-            patience: patience(shared, request, &placed.target, arrivals),
-            opens_connection: opens_connection(request, &tried),
+        let options = AttemptOptions {
+            response_deadline: response_deadline(shared, request, &slot.target, reached),
+            new_connection: needs_new_connection(request, &tried),
         };
-        tried.push(placed.target.clone());
-        let failure = match one_attempt(shared, caller, request, placed, terms).await {
-            Ok(after) => {
-                log_answer(shared, request, &tried, after);
-                return Ok(after);
+        tried.push(slot.target.clone());
+        let failure = match run_attempt(shared, caller, request, slot, options).await {
+            Ok(action) => {
+                log_answered(shared, request, &tried, action);
+                return Ok(action);
             }
             Err(failure) => failure,
         };
         if failure == AttemptFailure::CallerLeft {
-            return Ok(caller_left(shared, request));
+            return Ok(record_caller_left(shared, request));
         }
-        if failure.arrived() {
-            arrivals += 1;
+        if failure.reached_target() {
+            reached += 1;
         } else {
-            unreached += 1;
+            unreachable += 1;
         }
         may_have_run |= failure.may_have_run();
         log_failure(request, &tried, failure);
-        if !may_try_again(shared, request, failure, arrivals, unreached) {
+        if !can_retry(shared, request, failure, reached, unreachable) {
             return if may_have_run {
                 give_up(request, failure)
             } else {
-                Err(ErrorResponse::later(ErrorKind::TargetsRefused, RETURN_REFUSED))
+                Err(ErrorResponse::with_retry_after(ErrorKind::TargetsRefused, RETRY_AFTER_REJECTED))
             };
         }
         shared.metrics.count_retry(failure.slug());
@@ -197,11 +197,11 @@
 }
 
 /// One line for each answer that was passed on whole.
-fn log_answer(
+fn log_answered(
     shared: &GatewayShared,
     request: &RequestState,
     tried: &[TargetId],
-    after: AfterRequest,
+    action: ConnectionAction,
 ) {
     tracing::info!(
         request_id = %request.terms.id,
@@ -214,13 +214,13 @@
         time_left_millis = request.terms.time_left.map_or(0, |left| left.as_millis() as u64),
         tried_before_millis = request.tried_before.as_millis() as u64,
         waited_millis = request.waited.as_millis() as u64,
-        first_byte_millis = request.first_byte.as_millis() as u64,
-        first_event_millis = request.first_event.as_millis() as u64,
+        first_byte_millis = request.time_to_first_byte.as_millis() as u64,
+        first_event_millis = request.time_to_first_event.as_millis() as u64,
         longest_pause_millis = request.longest_pause.as_millis() as u64,
         elapsed_millis = request.received_at.elapsed().as_millis() as u64,
         status = request.status,
-        last_event = request.last_event.as_deref().unwrap_or(""),
-        closes = after != AfterRequest::Keep,
+        last_event = request.last_event_id.as_deref().unwrap_or(""),
+        closes = action != ConnectionAction::Keep,
         "answered"
     );
 }
@@ -234,7 +234,7 @@
         reason = failure.slug(),
         tried = tried.len(),
         elapsed_millis = request.received_at.elapsed().as_millis() as u64,
-        events_passed = request.last_event.as_deref().unwrap_or(""),
+        events_passed = request.last_event_id.as_deref().unwrap_or(""),
         "attempt failed"
     );
 }
@@ -244,132 +244,132 @@
 /// Failure guarded: a request that may have run and must not be repeated runs twice. It shows as
 /// a household that is billed twice. Only what certainly did not run, or may be repeated by its
 /// route's word, is sent again; and only as often as the route allows and the shared budget holds.
-fn may_try_again(
+fn can_retry(
     shared: &GatewayShared,
     request: &RequestState,
     failure: AttemptFailure,
-    arrivals: u32,
-    unreached: usize,
+    reached: u32,
+    unreachable: usize,
 ) -> bool {
-    let repeatable = !failure.may_have_run() || request.route.kind.may_retry();
-    if !repeatable || Instant::now() >= request.deadline || unreached > MAX_UNREACHED {
+    let retryable = !failure.may_have_run() || request.route.kind.may_retry();
+    if !retryable || Instant::now() >= request.deadline || unreachable > MAX_UNREACHABLE_TARGETS {
         return false;
     }
-    if arrivals == 0 {
+    if reached == 0 {
         return true;
     }
-    arrivals < most_arrivals(shared, request) && shared.spend_retry(&request.service)
+    reached < max_reached_targets(shared, request) && shared.spend_retry(&request.service)
 }
 
 /// How many targets the request may reach.
-fn most_arrivals(shared: &GatewayShared, request: &RequestState) -> u32 {
+fn max_reached_targets(shared: &GatewayShared, request: &RequestState) -> u32 {
     request.route.max_attempts.min(shared.options.most_attempts)
 }
 
-fn give_up(request: &RequestState, failure: AttemptFailure) -> Result<AfterRequest, ErrorResponse> {
-    if request.answering {
+fn give_up(request: &RequestState, failure: AttemptFailure) -> Result<ConnectionAction, ErrorResponse> {
+    if request.response_started {
         // The caller has a part of a stream; only a broken connection says that it is not whole.
-        return Ok(AfterRequest::Abort);
+        return Ok(ConnectionAction::Reset);
     }
-    let expired = failure == AttemptFailure::Silent || Instant::now() >= request.deadline;
+    let expired = failure == AttemptFailure::TimedOut || Instant::now() >= request.deadline;
     let kind = if expired { ErrorKind::Expired } else { ErrorKind::BrokenAnswer };
     Err(ErrorResponse::new(kind))
 }
 
-fn caller_left(shared: &GatewayShared, request: &RequestState) -> AfterRequest {
+fn record_caller_left(shared: &GatewayShared, request: &RequestState) -> ConnectionAction {
     shared.metrics.callers_left.inc();
     tracing::info!(
         request_id = %request.terms.id,
         elapsed_millis = request.received_at.elapsed().as_millis() as u64,
-        events_passed = request.last_event.as_deref().unwrap_or(""),
+        events_passed = request.last_event_id.as_deref().unwrap_or(""),
         "the caller left"
     );
-    AfterRequest::Abort
+    ConnectionAction::Reset
 }
 
 /// Finds a place; `None` if the caller left meanwhile.
-async fn find_place(
+async fn acquire_slot(
     shared: &Rc<GatewayShared>,
     caller: &mut HttpConnection,
     request: &RequestState,
     tried: &[TargetId],
-) -> Option<Result<PlaceGuard, ErrorResponse>> {
+) -> Option<Result<SlotGuard, ErrorResponse>> {
     let limits = request.limits(shared.options.callers_stay);
     let is_first = tried.is_empty();
-    let call = PlaceCall {
+    let slot_request = SlotRequest {
         service: &request.service,
         model: request.terms.model.as_ref(),
         tried,
-        claim: request.claim(),
+        urgency: request.urgency(),
         first_byte_deadline: (!is_first && limits.awaits_stream).then(|| limits.wait_deadline()),
-        latest: if is_first { request.deadline } else { limits.wait_deadline() },
+        wait_deadline: if is_first { request.deadline } else { limits.wait_deadline() },
     };
     let reply = tokio::select! {
         biased;
-        reply = dispatch::place(shared, &call) => reply,
-        () = caller.closed(attempt::SENT_AHEAD) => return None,
+        reply = dispatch::acquire_slot(shared, &slot_request) => reply,
+        () = caller.closed(attempt::MAX_PIPELINED_BYTES) => return None,
     };
     Some(match reply {
-        PlaceReply::Placed(guard) => Ok(guard),
-        PlaceReply::Full(_) if Instant::now() >= request.deadline => {
+        SlotReply::Acquired(guard) => Ok(guard),
+        SlotReply::Full(_) if Instant::now() >= request.deadline => {
             Err(ErrorResponse::new(ErrorKind::ExpiredUnsent))
         }
-        PlaceReply::Full(after) => Err(ErrorResponse::later(ErrorKind::Full, after)),
-        PlaceReply::NoTarget(after) => Err(ErrorResponse::later(ErrorKind::NoTarget, after)),
+        SlotReply::Full(after) => Err(ErrorResponse::with_retry_after(ErrorKind::Full, after)),
+        SlotReply::NoTarget(after) => Err(ErrorResponse::with_retry_after(ErrorKind::NoTarget, after)),
     })
 }
 
-async fn one_attempt(
+async fn run_attempt(
     shared: &Rc<GatewayShared>,
     caller: &mut HttpConnection,
     request: &mut RequestState,
-    placed: PlaceGuard,
-    terms: AttemptTerms,
-) -> Result<AfterRequest, AttemptFailure> {
-    let opened = attempt::open_answer(shared, caller, request, &placed, terms).await;
-    let answer = match opened {
-        Ok(answer) => answer,
+    slot: SlotGuard,
+    options: AttemptOptions,
+) -> Result<ConnectionAction, AttemptFailure> {
+    let opened = attempt::open_response(shared, caller, request, &slot, options).await;
+    let response = match opened {
+        Ok(response) => response,
         Err(AttemptFailure::OtherTarget) => {
-            shared.dispatch.borrow_mut().targets.remove_target(&placed.target, Instant::now());
-            shared.pool.borrow_mut().remove_target(&placed.target);
-            placed.finish(AttemptOutcome::Failed);
+            shared.dispatch.borrow_mut().targets.remove_target(&slot.target, Instant::now());
+            shared.pool.borrow_mut().remove_target(&slot.target);
+            slot.finish(AttemptOutcome::Failed);
             return Err(AttemptFailure::OtherTarget);
         }
         Err(failure) => {
-            placed.finish(outcome_of(request, failure));
+            slot.finish(attempt_outcome(request, failure));
             return Err(failure);
         }
     };
-    if !request.answering {
-        request.first_byte = request.received_at.elapsed();
-        request.status = answer.head.status;
-        shared.metrics.first_byte_seconds.observe(request.first_byte.as_secs_f64());
+    if !request.response_started {
+        request.time_to_first_byte = request.received_at.elapsed();
+        request.status = response.head.status;
+        shared.metrics.first_byte_seconds.observe(request.time_to_first_byte.as_secs_f64());
     }
-    let end = pass_on(shared, caller, request, &placed.target, answer).await;
-    match end {
-        RelayEnd::Whole(after) => {
-            placed.finish(AttemptOutcome::Answered);
+    let outcome = relay_response(shared, caller, request, &slot.target, response).await;
+    match outcome {
+        RelayOutcome::Complete(action) => {
+            slot.finish(AttemptOutcome::Answered);
             shared.metrics.answered.inc();
-            Ok(after)
+            Ok(action)
         }
-        RelayEnd::TargetFailed(after) => {
-            placed.finish(AttemptOutcome::Failed);
-            Ok(after)
+        RelayOutcome::ErrorStatus(action) => {
+            slot.finish(AttemptOutcome::Failed);
+            Ok(action)
         }
-        RelayEnd::Broken(failure) => {
-            placed.finish(outcome_of(request, failure));
+        RelayOutcome::Broken(failure) => {
+            slot.finish(attempt_outcome(request, failure));
             Err(failure)
         }
-        RelayEnd::CallerLeft => {
-            placed.finish(AttemptOutcome::Abandoned);
+        RelayOutcome::CallerLeft => {
+            slot.finish(AttemptOutcome::Abandoned);
             Err(AttemptFailure::CallerLeft)
         }
     }
 }
 
 /// A target that was still at work when the caller's own time ended is not to blame for it.
-fn outcome_of(request: &RequestState, failure: AttemptFailure) -> AttemptOutcome {
-    if failure == AttemptFailure::Silent && Instant::now() >= request.deadline && request.answering
+fn attempt_outcome(request: &RequestState, failure: AttemptFailure) -> AttemptOutcome {
+    if failure == AttemptFailure::TimedOut && Instant::now() >= request.deadline && request.response_started
     {
         return AttemptOutcome::Abandoned;
     }
@@ -383,65 +383,65 @@
 /// itself finds out about the link, and cannot be recalled; the handshake ends in the same queue before
 /// anything is sent, and another target is tried. It costs a round trip of some milliseconds of those
 /// that have waited for hundreds.
-fn opens_connection(request: &RequestState, tried: &[TargetId]) -> bool {
+fn needs_new_connection(request: &RequestState, tried: &[TargetId]) -> bool {
     request.route.kind.is_stream() && !tried.is_empty()
 }
 
 /// Until when the answer must begin.
-fn patience(
+fn response_deadline(
     shared: &GatewayShared,
     request: &RequestState,
     target: &TargetId,
-    arrivals: u32,
+    reached: u32,
 ) -> Instant {
     let route = &request.route;
-    let may_retry = route.kind.may_retry() && arrivals + 1 < most_arrivals(shared, request);
+    let may_retry = route.kind.may_retry() && reached + 1 < max_reached_targets(shared, request);
     if !may_retry {
         return request.deadline;
     }
-    let patience = request.limits(shared.options.callers_stay).attempt_deadline(Instant::now());
+    let attempt_deadline = request.limits(shared.options.callers_stay).attempt_deadline(Instant::now());
     let model = request.terms.model.as_ref();
     let dispatch = shared.dispatch.borrow();
     // Failure guarded: a request waits in a full engine until after the bound and begins on old
     // weights. It is taken back before, while there is still time to close its connection.
-    let leave_by = model.and_then(|model| dispatch.targets.start_deadline(target, model));
-    leave_by.map_or(patience, |leave_by| patience.min(leave_by + LEAVE_SLACK))
+    let start_deadline = model.and_then(|model| dispatch.targets.start_deadline(target, model));
+    start_deadline.map_or(attempt_deadline, |start_deadline| attempt_deadline.min(start_deadline + START_DEADLINE_GRACE))
 }
 
-async fn pass_on(
+async fn relay_response(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
     request: &mut RequestState,
     target: &TargetId,
-    answer: OpenAnswer,
-) -> RelayEnd {
-    let is_stream = request.route.kind.is_stream() && answer.head.status < 300;
+    response: OpenResponse,
+) -> RelayOutcome {
+    let is_stream = request.route.kind.is_stream() && response.head.status < 300;
     if is_stream {
-        relay::stream(shared, caller, request, target, answer).await
+        relay::stream(shared, caller, request, target, response).await
     } else {
-        relay::whole(shared, caller, request, target, answer).await
+        relay::buffered(shared, caller, request, target, response).await
     }
 }
 
 /// Sends an answer of our own.
-pub(crate) async fn answer_refusal(
+pub(crate) async fn send_error(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
-    refusal: &ErrorResponse,
-    keeps: bool,
+    error: &ErrorResponse,
+    keep_alive: bool,
     id: &str,
-) -> AfterRequest {
-    shared.metrics.count_refusal(refusal.kind);
+) -> ConnectionAction {
+    shared.metrics.count_refusal(error.kind);
     tracing::info!(
         request_id = id,
-        reason = refusal.kind.slug(),
-        verdict = ?refusal.kind.verdict(),
-        retry_after_millis = refusal.retry_after.map_or(0, |after| after.as_millis() as u64),
+        reason = error.kind.slug(),
+        verdict = ?error.kind.verdict(),
+        retry_after_millis = error.retry_after.map_or(0, |after| after.as_millis() as u64),
         "refused"
     );
-    let close = !keeps || shared.phase() != StopPhase::Running;
-    if caller.write(&refusal.write(close)).await.is_err() {
-        return AfterRequest::Abort;
+    let close = !keep_alive || shared.phase() != StopPhase::Running;
+    if caller.write(&error.encode(close)).await.is_err() {
+        return ConnectionAction::Reset;
     }
-    if close || refusal.ends_connection() { AfterRequest::Close } else { AfterRequest::Keep }
+    if close || error.closes_connection() { ConnectionAction::Close } else { ConnectionAction::Keep }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,9 +1,9 @@
 //! Passing a target's answer on to the caller.
 
 use crate::{
-    attempt::{AttemptFailure, OpenAnswer, SENT_AHEAD},
+    attempt::{AttemptFailure, OpenResponse, MAX_PIPELINED_BYTES},
     events::{EventBuffer, last_event_id},
-    forward::AfterRequest,
+    forward::ConnectionAction,
     request::RequestState,
     shared::{GatewayShared, StopPhase},
 };
@@ -15,13 +15,13 @@
 
 /// Largest answer that is no stream. It is read whole before any of it is passed on, so that one
 /// that breaks off can be asked for again or reported as broken.
-const MAX_WHOLE_ANSWER: usize = 8 * 1024 * 1024;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 /// Longest silence within a stream that may go on elsewhere. Longer than a switch of weights makes
 /// an engine pause, shorter than the two seconds after which callers leave.
-const STREAM_SILENCE: Duration = Duration::from_millis(1_500);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Fields that concern one connection only and are never passed on.
-const CONNECTION_FIELDS: [&str; 8] = [
+const UNFORWARDED_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -33,11 +33,11 @@
 ];
 
 /// How passing an answer on ended.
-pub(crate) enum RelayEnd {
+pub(crate) enum RelayOutcome {
     /// The caller has the whole answer.
-    Whole(AfterRequest),
+    Complete(ConnectionAction),
     /// The caller has the whole answer, and it is a failure of the target's.
-    TargetFailed(AfterRequest),
+    ErrorStatus(ConnectionAction),
     /// The answer broke off.
     Broken(AttemptFailure),
     /// The caller left.
@@ -45,64 +45,64 @@
 }
 
 /// Whether the caller's connection stays open after this answer.
-fn keeps_caller(shared: &GatewayShared, request: &RequestState) -> bool {
+fn keeps_connection(shared: &GatewayShared, request: &RequestState) -> bool {
     request.head.keeps_alive() && shared.phase() == StopPhase::Running
 }
 
-fn answer_head(head: &ResponseHead, keeps: bool) -> HeadWriter {
+fn response_writer(head: &ResponseHead, keep_alive: bool) -> HeadWriter {
     let mut writer = HeadWriter::response(head.status, &head.reason);
-    let named = |name: &str| head.headers.has_token("connection", name);
+    let is_listed = |name: &str| head.headers.has_token("connection", name);
     for field in head.headers.iter() {
         let name = String::from_utf8_lossy(&field.name).to_ascii_lowercase();
-        if !CONNECTION_FIELDS.contains(&name.as_str()) && !named(&name) {
+        if !UNFORWARDED_HEADERS.contains(&name.as_str()) && !is_listed(&name) {
             writer.field(&field.name, &field.value);
         }
     }
-    if !keeps {
+    if !keep_alive {
         writer.text("Connection", "close");
     }
     writer
 }
 
 /// Passes on an answer that is no stream.
-pub(crate) async fn whole(
+pub(crate) async fn buffered(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
     request: &RequestState,
     target: &TargetId,
-    mut answer: OpenAnswer,
-) -> RelayEnd {
-    let reader = answer.body(&request.head.method);
-    let read = answer.connection.read_body(reader, MAX_WHOLE_ANSWER);
+    mut response: OpenResponse,
+) -> RelayOutcome {
+    let reader = response.body(&request.head.method);
+    let read = response.connection.read_body(reader, MAX_BUFFERED_RESPONSE_BYTES);
     let body = tokio::select! {
         body = tokio::time::timeout_at(request.deadline, read) => body,
-        () = caller.closed(SENT_AHEAD) => return RelayEnd::CallerLeft,
+        () = caller.closed(MAX_PIPELINED_BYTES) => return RelayOutcome::CallerLeft,
     };
     let body = match body {
         Ok(Ok(body)) => body,
         Ok(Err(error)) => {
             tracing::info!(request_id = %request.terms.id, %error, "an answer broke off");
-            return RelayEnd::Broken(AttemptFailure::Broken);
+            return RelayOutcome::Broken(AttemptFailure::Broken);
         }
-        Err(_) => return RelayEnd::Broken(AttemptFailure::Silent),
+        Err(_) => return RelayOutcome::Broken(AttemptFailure::TimedOut),
     };
-    let keeps = keeps_caller(shared, request);
-    let mut writer = answer_head(&answer.head, keeps);
-    let failed = answer.head.status >= 500;
+    let keep_alive = keeps_connection(shared, request);
+    let mut writer = response_writer(&response.head, keep_alive);
+    let is_error = response.head.status >= 500;
     let bytes = if &request.head.method[..] == b"HEAD" {
-        if let Some(length) = answer.head.headers.text("content-length") {
+        if let Some(length) = response.head.headers.text("content-length") {
             writer.text("Content-Length", length);
         }
         writer.finish()
     } else {
         writer.finish_with(&body)
     };
-    keep_target(shared, target, answer);
-    if write_by(caller, &bytes, request.deadline).await.is_err() {
-        return RelayEnd::CallerLeft;
+    return_connection(shared, target, response);
+    if write_before(caller, &bytes, request.deadline).await.is_err() {
+        return RelayOutcome::CallerLeft;
     }
-    let after = if keeps { AfterRequest::Keep } else { AfterRequest::Close };
-    if failed { RelayEnd::TargetFailed(after) } else { RelayEnd::Whole(after) }
+    let action = if keep_alive { ConnectionAction::Keep } else { ConnectionAction::Close };
+    if is_error { RelayOutcome::ErrorStatus(action) } else { RelayOutcome::Complete(action) }
 }
 
 /// Passes on a stream, event by event as they come. After a break the caller's answer stays open
@@ -112,122 +112,122 @@
     caller: &mut HttpConnection,
     request: &mut RequestState,
     target: &TargetId,
-    mut answer: OpenAnswer,
-) -> RelayEnd {
-    let mut reader = answer.body(&request.head.method);
+    mut response: OpenResponse,
+) -> RelayOutcome {
+    let mut reader = response.body(&request.head.method);
     let mut buffer = EventBuffer::default();
-    let keeps = keeps_caller(shared, request);
-    if request.answering {
+    let keep_alive = keeps_connection(shared, request);
+    if request.response_started {
         shared.metrics.resumed.inc();
     }
     loop {
-        let piece = match next_piece(caller, request, &mut reader, &mut answer).await {
-            Ok(piece) => piece,
-            Err(end) => return end,
+        let chunk = match next_chunk(caller, request, &mut reader, &mut response).await {
+            Ok(chunk) => chunk,
+            Err(outcome) => return outcome,
         };
-        let (events, ended) = match piece {
-            Some(piece) => (buffer.push(&piece), false),
+        let (events, at_end) = match chunk {
+            Some(chunk) => (buffer.push(&chunk), false),
             None => (Some(Bytes::copy_from_slice(buffer.partial_event())), true),
         };
         if buffer.exceeds_limit() {
-            return RelayEnd::Broken(AttemptFailure::Broken);
+            return RelayOutcome::Broken(AttemptFailure::Broken);
         }
         let events = events.filter(|events| !events.is_empty());
         if let Some(events) = events
-            && pass_events(caller, request, &answer.head, &events, keeps).await.is_err()
+            && forward_events(caller, request, &response.head, &events, keep_alive).await.is_err()
         {
-            return RelayEnd::CallerLeft;
+            return RelayOutcome::CallerLeft;
         }
-        if ended {
-            return end_stream(shared, caller, request, target, answer, keeps).await;
+        if at_end {
+            return finish_stream(shared, caller, request, target, response, keep_alive).await;
         }
     }
 }
 
 /// The next bytes of the stream, or how it ended.
-async fn next_piece(
+async fn next_chunk(
     caller: &mut HttpConnection,
     request: &RequestState,
     reader: &mut BodyReader,
-    answer: &mut OpenAnswer,
-) -> Result<Option<Bytes>, RelayEnd> {
-    let patience = if request.route.kind.may_retry() {
-        (Instant::now() + STREAM_SILENCE).min(request.deadline)
+    response: &mut OpenResponse,
+) -> Result<Option<Bytes>, RelayOutcome> {
+    let read_deadline = if request.route.kind.may_retry() {
+        (Instant::now() + STREAM_IDLE_TIMEOUT).min(request.deadline)
     } else {
         request.deadline
     };
-    let next = reader.next(&mut answer.connection);
-    let piece = tokio::select! {
-        piece = tokio::time::timeout_at(patience, next) => piece,
-        () = caller.closed(SENT_AHEAD) => return Err(RelayEnd::CallerLeft),
+    let next = reader.next(&mut response.connection);
+    let chunk = tokio::select! {
+        chunk = tokio::time::timeout_at(read_deadline, next) => chunk,
+        () = caller.closed(MAX_PIPELINED_BYTES) => return Err(RelayOutcome::CallerLeft),
     };
-    match piece {
-        Ok(Ok(piece)) => Ok(piece),
+    match chunk {
+        Ok(Ok(chunk)) => Ok(chunk),
         Ok(Err(error)) => {
             tracing::info!(request_id = %request.terms.id, %error, "a stream broke off");
-            Err(RelayEnd::Broken(AttemptFailure::Broken))
+            Err(RelayOutcome::Broken(AttemptFailure::Broken))
         }
-        Err(_) => Err(RelayEnd::Broken(AttemptFailure::Silent)),
+        Err(_) => Err(RelayOutcome::Broken(AttemptFailure::TimedOut)),
     }
 }
 
-async fn pass_events(
+async fn forward_events(
     caller: &mut HttpConnection,
     request: &mut RequestState,
     head: &ResponseHead,
     events: &Bytes,
-    keeps: bool,
+    keep_alive: bool,
 ) -> Result<(), ()> {
     let frame = chunk_frame(events);
-    let bytes = if request.answering {
+    let bytes = if request.response_started {
         frame
     } else {
-        let mut writer = answer_head(head, keeps);
+        let mut writer = response_writer(head, keep_alive);
         writer.text("Transfer-Encoding", "chunked");
         let mut first = Vec::from(writer.finish());
         first.extend_from_slice(&frame);
         first.into()
     };
-    write_by(caller, &bytes, request.deadline).await?;
-    request.note_passed(Instant::now());
-    request.answering = true;
+    write_before(caller, &bytes, request.deadline).await?;
+    request.record_forwarded(Instant::now());
+    request.response_started = true;
     if let Some(id) = last_event_id(events) {
-        request.last_event = Some(id.to_owned());
+        request.last_event_id = Some(id.to_owned());
     }
     Ok(())
 }
 
-async fn end_stream(
+async fn finish_stream(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
     request: &mut RequestState,
     target: &TargetId,
-    answer: OpenAnswer,
-    keeps: bool,
-) -> RelayEnd {
-    let bytes = if request.answering {
+    response: OpenResponse,
+    keep_alive: bool,
+) -> RelayOutcome {
+    let bytes = if request.response_started {
         Bytes::from_static(last_chunk())
     } else {
-        answer_head(&answer.head, keeps).finish_with(b"")
+        response_writer(&response.head, keep_alive).finish_with(b"")
     };
-    keep_target(shared, target, answer);
-    if write_by(caller, &bytes, request.deadline).await.is_err() {
-        return RelayEnd::CallerLeft;
+    return_connection(shared, target, response);
+    if write_before(caller, &bytes, request.deadline).await.is_err() {
+        return RelayOutcome::CallerLeft;
     }
-    RelayEnd::Whole(if keeps { AfterRequest::Keep } else { AfterRequest::Close })
+    RelayOutcome::Complete(if keep_alive { ConnectionAction::Keep } else { ConnectionAction::Close })
 }
 
-async fn write_by(caller: &mut HttpConnection, bytes: &[u8], deadline: Instant) -> Result<(), ()> {
+async fn write_before(caller: &mut HttpConnection, bytes: &[u8], deadline: Instant) -> Result<(), ()> {
     match tokio::time::timeout_at(deadline, caller.write(bytes)).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) | Err(_) => Err(()),
     }
 }
 
-fn keep_target(shared: &GatewayShared, target: &TargetId, answer: OpenAnswer) {
-    if answer.head.keeps_alive() {
+fn return_connection(shared: &GatewayShared, target: &TargetId, response: OpenResponse) {
+    if response.head.keeps_alive() {
         let now = Instant::now();
-        let keep = answer.marks.keep_alive;
-        shared.pool.borrow_mut().put(target, answer.connection, keep, now);
+        let idle_timeout = response.marks.keep_alive;
+        shared.pool.borrow_mut().put(target, response.connection, idle_timeout, now);
     }
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -21,19 +21,19 @@
     /// How long the caller tried before this request reached this entry.
     pub(crate) tried_before: Duration,
     /// Last event passed on to the caller by this entry, if any.
-    pub(crate) last_event: Option<String>,
+    pub(crate) last_event_id: Option<String>,
     /// Whether the head of the answer has been sent to the caller.
-    pub(crate) answering: bool,
+    pub(crate) response_started: bool,
     /// Time spent waiting for places.
     pub(crate) waited: Duration,
     /// Time from the request to the head of its answer.
-    pub(crate) first_byte: Duration,
+    pub(crate) time_to_first_byte: Duration,
     /// Time from the request to the first piece of a stream.
-    pub(crate) first_event: Duration,
+    pub(crate) time_to_first_event: Duration,
     /// Longest time between two pieces of a stream.
     pub(crate) longest_pause: Duration,
     /// When the last piece was passed on.
-    pub(crate) passed_at: Option<Instant>,
+    pub(crate) last_forwarded_at: Option<Instant>,
     /// Status of the answer passed on.
     pub(crate) status: u16,
 }
@@ -44,9 +44,9 @@
     }
 
     /// Notes that a piece of a stream was passed on.
-    pub(crate) fn note_passed(&mut self, now: Instant) {
-        match self.passed_at.replace(now) {
-            None => self.first_event = now.saturating_duration_since(self.received_at),
+    pub(crate) fn record_forwarded(&mut self, now: Instant) {
+        match self.last_forwarded_at.replace(now) {
+            None => self.time_to_first_event = now.saturating_duration_since(self.received_at),
             Some(before) => {
                 let pause = now.saturating_duration_since(before);
                 self.longest_pause = self.longest_pause.max(pause);
@@ -57,7 +57,7 @@
     /// What limits its attempts and its waits for further places.
     pub(crate) fn limits(&self, stream_idle_timeout: Duration) -> AttemptLimits {
         AttemptLimits {
-            awaits_stream: self.route.kind.is_stream() && !self.answering,
+            awaits_stream: self.route.kind.is_stream() && !self.response_started,
             objective: self.route.objective,
             received_at: self.received_at,
             deadline: self.deadline,
@@ -66,13 +66,13 @@
     }
 
     /// What the request may claim of a wait, by its rank and how long its caller has been trying.
-    pub(crate) fn claim(&self) -> WaitUrgency {
-        if self.answering {
+    pub(crate) fn urgency(&self) -> WaitUrgency {
+        if self.response_started {
             return WaitUrgency::resumed();
         }
-        let own = self.holder.as_ref().and_then(|holder| holder.priority);
+        let key_priority = self.holder.as_ref().and_then(|holder| holder.priority);
         let trying_for = self.tried_before + self.received_at.elapsed();
         let objective = self.route.objective;
-        WaitUrgency::new(own.unwrap_or(self.route.priority), objective, trying_for)
+        WaitUrgency::new(key_priority.unwrap_or(self.route.priority), objective, trying_for)
     }
 }
