--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one target, up to the head of its answer.
+//! One attempt: sends a request to one target and reads the head of its response.
 
 use crate::{
     dialect::{AnswerMarks, TargetSend},
@@ -11,14 +11,15 @@
 use egretseam_serving::{AttemptOutcome, TargetId};
 use tokio::time::Instant;
 
-/// Largest body that is read off a refusal to keep its connection.
+/// Largest body of a rejection that is read and discarded so that its connection can be reused.
 const MAX_REJECTION_BODY_BYTES: usize = 16 * 1024;
-/// Most answers to other requests that are passed over before the connection is given up.
+/// Most responses to other requests that are discarded before the connection is closed.
 const MAX_STRAY_RESPONSES: usize = 2;
-/// Most bytes that a caller may send ahead while its answer is awaited.
+/// Most bytes that a caller may pipeline while its response is pending. After more, the entry no
+/// longer notices that the caller disconnects.
 pub(crate) const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 
-/// An answer whose head is here and whose body is still to come.
+/// A response whose head has been read and whose body has not.
 pub(crate) struct OpenResponse {
     pub(crate) connection: HttpConnection,
     pub(crate) head: ResponseHead,
@@ -26,31 +27,31 @@
 }
 
 impl OpenResponse {
-    /// Reader of the body.
+    /// A reader for the body of the response to a request with this method.
     pub(crate) fn body(&self, method: &[u8]) -> BodyReader {
         BodyReader::new(self.head.framing(method))
     }
 }
 
-/// Why there is no answer from a target.
+/// Why an attempt got no response from its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptFailure {
-    /// No connection: nothing reached the target.
+    /// No connection could be opened, so nothing reached the target.
     Unreachable,
-    /// The target says that it did not run the request: it has no room.
+    /// The target stated that it did not run the request because it is full.
     Full,
-    /// The target says that it did not run the request: it is another one.
+    /// The target stated that it did not run the request because it is not the one addressed.
     OtherTarget,
-    /// The connection broke or the answer is not one; the request may have run.
+    /// The connection failed or the response is invalid; the request may have run.
     Broken,
-    /// No answer within the time that this attempt had; the request may have run.
+    /// No response before the deadline of the attempt; the request may have run.
     TimedOut,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
 impl AttemptFailure {
-    /// Reason in logs and metrics.
+    /// The name of the reason in logs and metrics.
     pub(crate) fn slug(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
@@ -72,7 +73,7 @@
         self != Self::Unreachable
     }
 
-    /// What the failure says about the target.
+    /// The outcome to record in the target's health.
     pub(crate) fn outcome(self) -> AttemptOutcome {
         match self {
             Self::Unreachable => AttemptOutcome::Unreachable,
@@ -83,16 +84,16 @@
     }
 }
 
-/// How one attempt reaches its target, and for how long.
+/// Deadline and connection of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptOptions {
-    /// When the answer must begin.
+    /// When the attempt times out if the head of the response has not been read.
     pub(crate) response_deadline: Instant,
-    /// Whether the request goes over a new connection although one is kept.
+    /// Whether to open a new connection even if the pool has an idle one.
     pub(crate) new_connection: bool,
 }
 
-/// Sends the request and waits for the head of the answer.
+/// Sends the request to the target of `slot` and reads the head of the response.
 pub(crate) async fn open_response(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
@@ -128,9 +129,9 @@
     };
     let (head, marks) = match result {
         Ok(response) => response,
-        // Failure guarded: a target works for a caller that left, or on a request that another
-        // target has by now. An orderly close is queued behind the request; a reset discards what
-        // is still queued here and ends what has arrived.
+        // Without a reset the target would work for a caller that has left, or on a request that
+        // another target has by now. An orderly close is queued behind the request; a reset
+        // discards the bytes still queued here and cancels a request that has arrived.
         Err(failure) => {
             connection.abort();
             return Err(failure);
@@ -144,28 +145,35 @@
     if response.marks.not_run {
         return Err(drain_rejection(shared, request, slot, response).await);
     }
-    // Failure guarded: a success without the target's signature is not the target's answer, for
-    // example the rest of a broken one. Passing it on would be a wrong answer.
+    // A success without the target's signature is not the target's response to this request; it
+    // may be the remainder of a broken one. Forwarding it would give the caller a wrong response.
     if response.head.status < 300 && !response.marks.signed {
         return Err(AttemptFailure::Broken);
     }
     Ok(response)
 }
 
-/// One line for each request whose caller left before its target answered: how long it was on its way or
-/// at work there by then, and what was known of the target's link.
-fn log_caller_left(shared: &GatewayShared, request: &RequestState, slot: &SlotGuard, sent_at: Instant) {
+/// Logs a request whose caller disconnected before the target responded: the time since the request
+/// was sent, which it spent in flight or running at the target, and the known delay of the target's
+/// link.
+fn log_caller_left(
+    shared: &GatewayShared,
+    request: &RequestState,
+    slot: &SlotGuard,
+    sent_at: Instant,
+) {
     let link_delay = shared.dispatch.borrow().targets.link_delay(&slot.target);
     tracing::info!(
         request_id = %request.terms.id,
         target_id = %slot.target,
         awaited_millis = sent_at.elapsed().as_millis() as u64,
         link_delay_millis = link_delay.as_millis() as u64,
-        "the caller left before its target answered"
+        "caller disconnected before the target responded"
     );
 }
 
-/// A request whose first byte is awaited. Dropped before its end it says nothing of its target.
+/// Measures the time to the first byte of a response. Dropped before [`Self::stop`], it records
+/// nothing about the target.
 struct FirstByteTimer<'a> {
     shared: &'a GatewayShared,
     target: &'a TargetId,
@@ -180,7 +188,7 @@
         Self { shared, target, sent_at }
     }
 
-    /// The first byte came. One that was waited for in vain counts with the time it was waited for.
+    /// Records the time to the first byte, or the time waited if the attempt failed or timed out.
     fn stop(self) {
         let now = Instant::now();
         self.shared.dispatch.borrow_mut().targets.record_first_byte(self.target, self.sent_at, now);
@@ -206,16 +214,16 @@
     shared.metrics.connections_opened.inc();
     let limit = if new_connection { STREAM_RETRY_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT };
     pool::connect(slot.address, limit).await.map_err(|error| {
-        tracing::debug!(target_id = %slot.target, %error, "no connection to a target");
+        tracing::debug!(target_id = %slot.target, %error, "failed to connect to target");
         AttemptFailure::Unreachable
     })
 }
 
-/// Reads heads until one answers this request.
+/// Reads response heads until one belongs to this request.
 ///
-/// Failure guarded: a target may answer a request twice, and the second answer arrives where the
-/// next request's is expected. Targets repeat the request's id; an answer with another id is read
-/// off and passed over.
+/// A target may respond to a request twice, so that the second response arrives where that to the
+/// next request is expected. Targets echo the request id; a response with another id is read and
+/// discarded.
 async fn read_matching_head(
     shared: &GatewayShared,
     connection: &mut HttpConnection,
@@ -227,7 +235,7 @@
         if marks.request.as_deref().is_none_or(|id| id == request.terms.id) {
             return Ok((head, marks));
         }
-        tracing::warn!(request_id = %request.terms.id, "an answer to another request was dropped");
+        tracing::warn!(request_id = %request.terms.id, "discarding a response to another request");
         let reader = BodyReader::new(head.framing(&request.head.method));
         let body = connection.read_body(reader, MAX_REJECTION_BODY_BYTES).await;
         body.map_err(|_| AttemptFailure::Broken)?;
@@ -235,16 +243,17 @@
     Err(AttemptFailure::Broken)
 }
 
-/// Takes a statement that the request did not run, and keeps its connection if it is sound.
+/// Reads the rest of a response that states that the request did not run, and returns its
+/// connection to the pool if it can be reused.
 async fn drain_rejection(
     shared: &GatewayShared,
     request: &RequestState,
     slot: &SlotGuard,
     response: OpenResponse,
 ) -> AttemptFailure {
-    let other = response.marks.other_target;
+    let is_other_target = response.marks.other_target;
     let reader = response.body(&request.head.method);
-    let reusable = response.head.keeps_alive() && !other;
+    let reusable = response.head.keeps_alive() && !is_other_target;
     let mut connection = response.connection;
     let body = connection.read_body(reader, MAX_REJECTION_BODY_BYTES).await;
     if reusable && body.is_ok() {
@@ -252,5 +261,5 @@
         let idle_timeout = response.marks.keep_alive;
         shared.pool.borrow_mut().put(&slot.target, connection, idle_timeout, now);
     }
-    if other { AttemptFailure::OtherTarget } else { AttemptFailure::Full }
+    if is_other_target { AttemptFailure::OtherTarget } else { AttemptFailure::Full }
 }
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: request after request, until either side ends it.
+//! Serves one connection of a caller: one request after another until either side closes it.
 
 use crate::{
     error_response::{ErrorKind, ErrorResponse},
@@ -13,11 +13,11 @@
 use std::{rc::Rc, time::Duration};
 use tokio::{net::TcpStream, time::Instant};
 
-/// Time that a caller has to send a body, besides a second for each MiB. Bodies of some KiB arrive
-/// with their head.
+/// Timeout for reading a request body, plus one second for each MiB of it. Bodies of some KiB
+/// arrive with their head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Counts one for as long as it lives.
+/// Increments a count, and decrements it when dropped.
 struct CountGuard<'a>(&'a std::cell::Cell<usize>);
 
 impl<'a> CountGuard<'a> {
@@ -33,16 +33,16 @@
     }
 }
 
-/// Serves a connection to its end.
+/// Serves a caller's connection until it closes.
 pub(crate) async fn serve(shared: Rc<GatewayShared>, stream: TcpStream) {
     let _connection = CountGuard::new(&shared.connections);
-    // A caller that reads slowly is no lost one, so its silence is bounded by its requests' own
-    // deadlines; the kernel's limit only ends connections to callers that are gone.
+    // A caller that reads slowly is still there, so its pauses are bounded by the deadlines of its
+    // requests. The kernel's limit only ends connections to callers that are gone.
     let options = ConnectionOptions { silence_limit: Duration::from_secs(6) };
     let mut caller = match HttpConnection::new(stream, &options) {
         Ok(caller) => caller,
         Err(error) => {
-            tracing::debug!(%error, "a caller's connection could not be set up");
+            tracing::debug!(%error, "failed to set up a caller's connection");
             return;
         }
     };
@@ -55,7 +55,10 @@
     }
 }
 
-async fn serve_next_request(shared: &Rc<GatewayShared>, caller: &mut HttpConnection) -> ConnectionAction {
+async fn serve_next_request(
+    shared: &Rc<GatewayShared>,
+    caller: &mut HttpConnection,
+) -> ConnectionAction {
     let limits =
         shared.routes().map_or_else(CallerLimits::default, |routes| routes.config().limits);
     let mut stop = shared.stop.subscribe();
@@ -63,8 +66,8 @@
     let readable = tokio::select! {
         biased;
         readable = waiting => readable,
-        // An idle connection of a stopping entry is closed; a request that crosses the close was
-        // not read, which callers know.
+        // A stopping entry closes its idle connections. A request sent at that moment is not read;
+        // callers can tell from the close that it has not run.
         _ = stop.wait_for(|phase| *phase == StopPhase::Refusing) => return ConnectionAction::Close,
     };
     if !matches!(readable, Ok(Ok(true))) {
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! The tables of targets, the requests that wait for a place, and the places that are held.
+//! Dispatch of requests to targets: the targets, the requests that wait for a slot, and the slots
+//! that requests occupy.
 
 use crate::shared::GatewayShared;
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
@@ -10,11 +11,11 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::{sync::oneshot, time::Instant};
 
-/// How often waiting requests are looked at besides when a place comes free. What an entry expects
-/// of a target fades with time, so a place can become free without an event.
+/// Interval of dispatching waiting requests, in addition to when a slot is released. An entry's
+/// estimate of a target's load decays with time, so a slot can become free without an event.
 pub(crate) const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a request needs, while it waits.
+/// A request in a wait queue.
 struct WaitingRequest {
     model: Option<ModelName>,
     tried: Vec<TargetId>,
@@ -23,7 +24,7 @@
     sender: oneshot::Sender<SlotGuard>,
 }
 
-/// Tables of one entry.
+/// Targets and wait queues of one entry.
 pub(crate) struct DispatchState {
     pub(crate) targets: TargetTable,
     queues: IndexMap<ServiceName, WaitQueue<WaitingRequest>>,
@@ -40,13 +41,13 @@
         self.queues.entry(service.clone()).or_insert_with(|| WaitQueue::new(waiting))
     }
 
-    /// Whether some request waits.
+    /// Whether any request waits for a slot.
     pub(crate) fn has_waiters(&self) -> bool {
         self.queues.values().any(|queue| !queue.is_empty())
     }
 }
 
-/// A place at a target, given back when dropped.
+/// An occupied slot at a target, released when dropped.
 pub(crate) struct SlotGuard {
     shared: Rc<GatewayShared>,
     service: ServiceName,
@@ -56,7 +57,7 @@
 }
 
 impl SlotGuard {
-    /// Gives the place back and notes how the attempt went.
+    /// Releases the slot and records the outcome of the attempt.
     pub(crate) fn finish(mut self, outcome: AttemptOutcome) {
         self.release(outcome);
     }
@@ -66,10 +67,10 @@
             return;
         }
         let now = Instant::now();
-        let ejected =
+        let is_unavailable =
             self.shared.dispatch.borrow_mut().targets.finish_attempt(&self.target, outcome, now);
-        if ejected {
-            tracing::info!(target_id = %self.target, ?outcome, "a target was ejected");
+        if is_unavailable {
+            tracing::info!(target_id = %self.target, ?outcome, "target ejected or unreachable");
         }
         dispatch_waiting(&self.shared, &self.service);
     }
@@ -81,7 +82,7 @@
     }
 }
 
-/// A request that wants a place.
+/// A request for a slot at a target.
 #[derive(Clone, Copy)]
 pub(crate) struct SlotRequest<'a> {
     pub(crate) service: &'a ServiceName,
@@ -90,22 +91,26 @@
     pub(crate) urgency: WaitUrgency,
     /// See [`PlacementQuery::first_byte_deadline`].
     pub(crate) first_byte_deadline: Option<Instant>,
-    /// When waiting makes no sense any more.
+    /// When waiting ends at the latest.
     pub(crate) wait_deadline: Instant,
 }
 
-/// What a call for a place comes to.
+/// Result of a [`SlotRequest`].
 pub(crate) enum SlotReply {
-    /// A place.
+    /// A slot, occupied by the request.
     Acquired(SlotGuard),
-    /// Nothing free in time; come back after this.
+    /// No slot was free in time; retry after this delay.
     Full(Duration),
-    /// No target can take it; come back after this.
+    /// No target can run the request; retry after this delay.
     NoTarget(Duration),
 }
 
-/// A place for a request: at once if one is free and nobody waits for it, else after a wait.
-pub(crate) async fn acquire_slot(shared: &Rc<GatewayShared>, request: &SlotRequest<'_>) -> SlotReply {
+/// Occupies a slot for a request: at once if one is free and the queue of its service is empty,
+/// else after a wait in that queue.
+pub(crate) async fn acquire_slot(
+    shared: &Rc<GatewayShared>,
+    request: &SlotRequest<'_>,
+) -> SlotReply {
     let pending = match acquire_or_enqueue(shared, request) {
         Ok(reply) => return reply,
         Err(pending) => pending,
@@ -121,13 +126,15 @@
     }
 }
 
+/// A queued request for a slot.
 struct PendingSlot {
     receiver: oneshot::Receiver<SlotGuard>,
     give_up_at: Instant,
     queue_guard: QueueGuard,
 }
 
-/// Takes a request out of its queue when its caller leaves or its wait ends.
+/// Removes a request from its queue when dropped, because its wait has ended or its caller has
+/// disconnected.
 struct QueueGuard {
     shared: Rc<GatewayShared>,
     service: ServiceName,
@@ -180,7 +187,11 @@
     };
     let median_first_byte = dispatch.targets.median_first_byte(request.service, now);
     let queue = dispatch.queue(request.service);
-    let limit = if in_outage { queue.outage_limit() } else { queue.wait_limit(&urgency, median_first_byte) };
+    let limit = if in_outage {
+        queue.outage_limit()
+    } else {
+        queue.wait_limit(&urgency, median_first_byte)
+    };
     let give_up_at = (now + limit).min(request.wait_deadline);
     let queued = if in_outage {
         queue.push_without_prediction(&urgency, give_up_at, waiting_request)
@@ -224,7 +235,7 @@
     Some(SlotGuard { shared, service, target, address, released: false })
 }
 
-/// Gives free places to those who wait, most urgent first.
+/// Dispatches the waiting requests of a service to free slots, most urgent first.
 pub(crate) fn dispatch_waiting(shared: &Rc<GatewayShared>, service: &ServiceName) {
     let mut dispatched = Vec::new();
     {
@@ -239,12 +250,12 @@
         }
     }
     for (sender, guard) in dispatched {
-        // A receiver that is gone drops the guard, which gives the place to the next.
+        // If the receiver has been dropped, so is the guard, and the slot goes to the next request.
         sender.send(guard).ok();
     }
 }
 
-/// Gives free places to those who wait for any service.
+/// Dispatches the waiting requests of all services to free slots.
 pub(crate) fn dispatch_all(shared: &Rc<GatewayShared>) {
     let services: Vec<ServiceName> = {
         let dispatch = shared.dispatch.borrow();
@@ -272,7 +283,7 @@
         };
         match dispatch.targets.choose(&query, now) {
             PlacementOutcome::Target(target) => return Some((ticket, target)),
-            // One that was refused elsewhere needs a particular target; others may still be served.
+            // This request excludes the targets that it has tried; others may still find a slot.
             PlacementOutcome::Full | PlacementOutcome::NoTarget if !request.tried.is_empty() => {}
             PlacementOutcome::Full | PlacementOutcome::NoTarget => return None,
         }
--- a/crates/gateway/src/error_response.rs
+++ b/crates/gateway/src/error_response.rs
@@ -1,42 +1,42 @@
-//! Answers of our own: why a request was not served, and whether it may have run.
+//! Error responses of the entry itself: why a request was not served, and whether it may have run.
 
 use bytes::Bytes;
 use egretseam_h1::HeadWriter;
 use egretseam_proto::RequestVerdict;
 use std::time::Duration;
 
-/// Why a request ends without its target's answer.
+/// Why a request ends without a complete response from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ErrorKind {
     /// This entry has no configuration yet.
     NoConfig,
-    /// No route applies.
+    /// No route matches the request.
     NoRoute,
-    /// The route needs a key.
+    /// The route requires an API key and the request has none.
     MissingKey,
-    /// Nobody holds the key.
+    /// The API key belongs to no organisation.
     UnknownKey,
-    /// The request is not proper HTTP.
+    /// The request is not valid HTTP.
     Malformed,
-    /// The head is too large.
+    /// The head exceeds its size limit.
     HeadTooLarge,
-    /// The body is too large.
+    /// The body exceeds its size limit.
     BodyTooLarge,
-    /// The caller took too long to send its request.
+    /// The caller did not send its complete request in time.
     SlowCaller,
-    /// Every place is taken, and the wait would be too long.
+    /// All slots are occupied, and the wait would be or was too long.
     Full,
-    /// No target of the service can take the request.
+    /// No target of the service can run the request.
     NoTarget,
-    /// Targets refused it, and it may not be sent to another.
+    /// No target ran the request, and it may not be sent to another.
     TargetsRefused,
-    /// The time is over, and it was never sent.
+    /// The deadline passed before the request was sent to a target.
     ExpiredUnsent,
     /// The entry is stopping.
     Stopping,
-    /// The time is over while a target was at work.
+    /// An attempt timed out or the deadline passed, and a target may have run the request.
     Expired,
-    /// The target's answer was lost or broken, and the request may not be sent again.
+    /// The target's response was lost or broken, and the request may not be sent again.
     BrokenAnswer,
 }
 
@@ -60,7 +60,7 @@
         Self::BrokenAnswer,
     ];
 
-    /// Name in logs and metrics.
+    /// The name in logs, metrics and the body of the response.
     pub(crate) fn slug(self) -> &'static str {
         match self {
             Self::NoConfig => "no-config",
@@ -83,8 +83,8 @@
 
     /// Status and reason phrase.
     ///
-    /// 408, 421, 429 and 503 promise callers that the request has not run and never will; every
-    /// other status promises nothing. So 502 and 504 stand wherever a target may be at work.
+    /// 408, 421, 429 and 503 guarantee callers that the request has not run and never will; no
+    /// other status guarantees anything. So 502 and 504 are sent where a target may be running it.
     fn status(self) -> (u16, &'static str) {
         match self {
             Self::NoRoute => (404, "Not Found"),
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Whether the connection cannot be read any further after it.
+    /// Whether the caller's connection must be closed after the response, because nothing more can
+    /// be read from it or the entry is stopping.
     fn closes_connection(self) -> bool {
         matches!(
             self,
@@ -116,7 +117,7 @@
         )
     }
 
-    /// Whether the request certainly has not run.
+    /// Whether the request may have run or certainly has not.
     pub(crate) fn verdict(self) -> RequestVerdict {
         match self {
             Self::Expired | Self::BrokenAnswer => RequestVerdict::MayHaveRun,
@@ -125,11 +126,11 @@
     }
 }
 
-/// An answer of our own.
+/// An error response of the entry itself.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ErrorResponse {
     pub(crate) kind: ErrorKind,
-    /// When the caller should come back, where that helps.
+    /// Delay after which the caller should retry, where a retry helps.
     pub(crate) retry_after: Option<Duration>,
 }
 
@@ -142,12 +143,12 @@
         Self { kind, retry_after: Some(retry_after) }
     }
 
-    /// Whether the connection must be closed after it.
+    /// Whether the caller's connection must be closed after the response.
     pub(crate) fn closes_connection(&self) -> bool {
         self.kind.closes_connection()
     }
 
-    /// The whole answer.
+    /// Head and body of the response. `close` announces that the connection will be closed.
     pub(crate) fn encode(&self, close: bool) -> Bytes {
         let (status, reason) = self.kind.status();
         let mut head = HeadWriter::response(status, reason.as_bytes());
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,19 +1,20 @@
-//! Cutting a stream into whole events.
+//! Splits a stream of server-sent events at the ends of events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event; a target that sends more without an end sends no events.
+/// Largest event. A target that sends more bytes without the end of an event does not send a stream
+/// of events.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Collects a stream's bytes and hands out whole events only, so that a stream can go on at
-/// another target between two of them.
+/// Buffers the bytes of a stream and returns complete events only, so that the stream can be
+/// resumed at another target between two events.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     pending: BytesMut,
 }
 
 impl EventBuffer {
-    /// Adds bytes; returns the events that are whole now, if any.
+    /// Adds bytes; returns the events that are complete now, if any.
     pub fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
         let from = self.pending.len().saturating_sub(1);
         self.pending.extend_from_slice(chunk);
@@ -21,23 +22,23 @@
         Some(self.pending.split_to(from + end + 2).freeze())
     }
 
-    /// Bytes of an event that is not whole.
+    /// The bytes of an incomplete event, empty if there is none.
     pub fn partial_event(&self) -> &[u8] {
         &self.pending
     }
 
-    /// Drops a part of an event, for example after its target broke off.
+    /// Discards an incomplete event, for example after its stream broke off.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
 
-    /// Whether what is pending cannot be an event any more.
+    /// Whether the incomplete event is larger than any event may be.
     pub fn exceeds_limit(&self) -> bool {
         self.pending.len() > MAX_EVENT_BYTES
     }
 }
 
-/// The id of the last event in `events` that has one.
+/// The id of the last event in `events` that has an id.
 pub fn last_event_id(events: &[u8]) -> Option<&str> {
     let lines = events.rsplit(|byte| *byte == b'\n');
     let id = lines.into_iter().find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,10 +1,10 @@
-//! One request from its head to the end of its answer: which attempts are made, and what the
-//! caller is told when none succeeds.
+//! Serves one request from its head to the end of its response: decides which attempts to make, and
+//! which error to send when none succeeds.
 
 use crate::{
     attempt::{self, AttemptFailure, AttemptOptions, OpenResponse},
     dialect::RequestTerms,
-    dispatch::{self, SlotRequest, SlotGuard, SlotReply},
+    dispatch::{self, SlotGuard, SlotReply, SlotRequest},
     error_response::{ErrorKind, ErrorResponse},
     relay::{self, RelayOutcome},
     request::RequestState,
@@ -17,26 +17,26 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// How long after the last moment for sending to old weights a request is still waited for there;
-/// the rest of the margin before the bound is for the word to reach the engine.
+/// How long after the start deadline of superseded weights an attempt still waits for its response.
+/// The rest of the margin before the staleness bound is for the reset to reach the engine.
 const START_DEADLINE_GRACE: Duration = Duration::from_millis(200);
-/// Most targets that are tried without reaching any of them.
+/// Failed connections after which a further one ends the request.
 const MAX_UNREACHABLE_TARGETS: usize = 4;
-/// When callers should come back that an entry without configuration rejected.
+/// Delay after which callers may retry that an entry without a configuration rejected.
 const RETRY_AFTER_NO_CONFIG: Duration = Duration::from_millis(300);
-/// When callers should come back to another entry.
+/// Delay after which callers may retry at another entry because this one is stopping.
 const RETRY_AFTER_STOPPING: Duration = Duration::from_millis(50);
-/// When callers should come back that targets refused.
+/// Delay after which callers may retry whose requests the targets rejected.
 const RETRY_AFTER_REJECTED: Duration = Duration::from_millis(400);
 
-/// What becomes of the caller's connection after a request.
+/// What to do with the caller's connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionAction {
-    /// It carries the next request.
+    /// Read the next request from it.
     Keep,
-    /// It is closed in an orderly way.
+    /// Close it after what was written has been delivered.
     Close,
-    /// It is reset: the answer broke off, or the caller is gone.
+    /// Reset it: the response is incomplete, or the caller has disconnected.
     Reset,
 }
 
@@ -70,12 +70,12 @@
     }
 }
 
-/// Waits for the first configuration of an entry that started a moment ago. Returns whether the
-/// caller is still there.
+/// Waits until an entry that has just started has its first configuration or the outage limit has
+/// passed. Returns whether the caller is still connected.
 ///
-/// Failure guarded: all entries are started at the same moment, and callers that reach one before
-/// it has its configuration are sent back into the same outage; they ask again once only. It shows
-/// as hundreds of requests refused in the second after a restart of everything.
+/// When all entries start at the same moment, a caller that is rejected for want of a configuration
+/// retries into the same outage, and it retries only once. Without this wait, hundreds of requests
+/// are rejected in the second after a restart of the whole fleet.
 async fn await_config(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
@@ -87,7 +87,7 @@
         _ = tokio::time::timeout(limit, shared.await_routes()) => true,
         () = caller.closed(attempt::MAX_PIPELINED_BYTES) => {
             shared.metrics.callers_left.inc();
-            tracing::info!(request_id = %terms.id, "the caller left before there was a configuration");
+            tracing::info!(request_id = %terms.id, "caller disconnected awaiting configuration");
             false
         }
     }
@@ -103,9 +103,9 @@
     if shared.phase() >= StopPhase::Refusing {
         return Err(ErrorResponse::with_retry_after(ErrorKind::Stopping, RETRY_AFTER_STOPPING));
     }
-    let routes = shared
-        .routes()
-        .ok_or_else(|| ErrorResponse::with_retry_after(ErrorKind::NoConfig, RETRY_AFTER_NO_CONFIG))?;
+    let routes = shared.routes().ok_or_else(|| {
+        ErrorResponse::with_retry_after(ErrorKind::NoConfig, RETRY_AFTER_NO_CONFIG)
+    })?;
     let route = find_route(&routes, &head)?;
     let holder = match routes.authorise(&route, terms.key.as_deref()) {
         Ok(holder) => holder.cloned(),
@@ -143,7 +143,7 @@
     route.ok_or(ErrorResponse::new(ErrorKind::NoRoute))
 }
 
-/// Makes attempts until one is answered or no further one is allowed.
+/// Makes attempts until one gets a response or no further one is allowed.
 async fn run_attempts(
     shared: &Rc<GatewayShared>,
     caller: &mut HttpConnection,
@@ -189,14 +189,17 @@
             return if may_have_run {
                 give_up(request, failure)
             } else {
-                Err(ErrorResponse::with_retry_after(ErrorKind::TargetsRefused, RETRY_AFTER_REJECTED))
+                Err(ErrorResponse::with_retry_after(
+                    ErrorKind::TargetsRefused,
+                    RETRY_AFTER_REJECTED,
+                ))
             };
         }
         shared.metrics.count_retry(failure.slug());
     }
 }
 
-/// One line for each answer that was passed on whole.
+/// Logs a response that was forwarded completely.
 fn log_answered(
     shared: &GatewayShared,
     request: &RequestState,
@@ -221,11 +224,11 @@
         status = request.status,
         last_event = request.last_event_id.as_deref().unwrap_or(""),
         closes = action != ConnectionAction::Keep,
-        "answered"
+        "response forwarded"
     );
 }
 
-/// One line for each decision to leave a target.
+/// Logs a failed attempt, after which the request goes to another target or ends.
 fn log_failure(request: &RequestState, tried: &[TargetId], failure: AttemptFailure) {
     let target = tried.last().map_or("", |target| target.name.as_str());
     tracing::info!(
@@ -239,11 +242,12 @@
     );
 }
 
-/// Whether the request may go to another target.
+/// Whether the request may be sent to another target.
 ///
-/// Failure guarded: a request that may have run and must not be repeated runs twice. It shows as
-/// a household that is billed twice. Only what certainly did not run, or may be repeated by its
-/// route's word, is sent again; and only as often as the route allows and the shared budget holds.
+/// Prevents a non-idempotent request that may have run from running twice, which would bill a
+/// household twice. Only a request that certainly did not run, or whose route allows retries, is
+/// sent again. Once a request has reached a target, the route's attempt limit and the retry budget
+/// of the service, which all entries share, apply as well.
 fn can_retry(
     shared: &GatewayShared,
     request: &RequestState,
@@ -261,14 +265,18 @@
     reached < max_reached_targets(shared, request) && shared.spend_retry(&request.service)
 }
 
-/// How many targets the request may reach.
+/// Number of targets that the request may reach.
 fn max_reached_targets(shared: &GatewayShared, request: &RequestState) -> u32 {
     request.route.max_attempts.min(shared.options.most_attempts)
 }
 
-fn give_up(request: &RequestState, failure: AttemptFailure) -> Result<ConnectionAction, ErrorResponse> {
+/// Ends a request that may have run without a complete response.
+fn give_up(
+    request: &RequestState,
+    failure: AttemptFailure,
+) -> Result<ConnectionAction, ErrorResponse> {
     if request.response_started {
-        // The caller has a part of a stream; only a broken connection says that it is not whole.
+        // The caller has part of a stream; only a reset connection shows that it is incomplete.
         return Ok(ConnectionAction::Reset);
     }
     let expired = failure == AttemptFailure::TimedOut || Instant::now() >= request.deadline;
@@ -282,12 +290,12 @@
         request_id = %request.terms.id,
         elapsed_millis = request.received_at.elapsed().as_millis() as u64,
         events_passed = request.last_event_id.as_deref().unwrap_or(""),
-        "the caller left"
+        "caller disconnected before the end of the response"
     );
     ConnectionAction::Reset
 }
 
-/// Finds a place; `None` if the caller left meanwhile.
+/// Waits for a slot at a target; `None` if the caller disconnects first.
 async fn acquire_slot(
     shared: &Rc<GatewayShared>,
     caller: &mut HttpConnection,
@@ -315,7 +323,9 @@
             Err(ErrorResponse::new(ErrorKind::ExpiredUnsent))
         }
         SlotReply::Full(after) => Err(ErrorResponse::with_retry_after(ErrorKind::Full, after)),
-        SlotReply::NoTarget(after) => Err(ErrorResponse::with_retry_after(ErrorKind::NoTarget, after)),
+        SlotReply::NoTarget(after) => {
+            Err(ErrorResponse::with_retry_after(ErrorKind::NoTarget, after))
+        }
     })
 }
 
@@ -367,27 +377,31 @@
     }
 }
 
-/// A target that was still at work when the caller's own time ended is not to blame for it.
+/// The outcome of a failed attempt for the target's health. A stream that times out at the caller's
+/// own deadline does not count against the target.
 fn attempt_outcome(request: &RequestState, failure: AttemptFailure) -> AttemptOutcome {
-    if failure == AttemptFailure::TimedOut && Instant::now() >= request.deadline && request.response_started
+    if failure == AttemptFailure::TimedOut
+        && Instant::now() >= request.deadline
+        && request.response_started
     {
         return AttemptOutcome::Abandoned;
     }
     failure.outcome()
 }
 
-/// Whether an attempt shows first that its target is near, by the handshake of a new connection.
+/// Whether the attempt opens a new connection, so that the handshake tests the link first.
 ///
-/// Failure guarded: a stream's further attempt is queued before a narrowed link that nobody knows of
-/// yet, arrives when its caller has left, and is run all the same. Over a kept connection the request
-/// itself finds out about the link, and cannot be recalled; the handshake ends in the same queue before
-/// anything is sent, and another target is tried. It costs a round trip of some milliseconds of those
-/// that have waited for hundreds.
+/// A retry of a stream may queue at a slow link that has not been detected yet, arrive after its
+/// caller has left, and still run. A request on an idle connection is in that queue when the delay
+/// shows, and cannot be recalled. A handshake waits in the same queue before the request is sent,
+/// so another target can be tried. It costs a round trip of some milliseconds, for requests that
+/// have waited for hundreds.
 fn needs_new_connection(request: &RequestState, tried: &[TargetId]) -> bool {
     request.route.kind.is_stream() && !tried.is_empty()
 }
 
-/// Until when the answer must begin.
+/// When an attempt at `target` times out if the head of the response has not been read. `reached`
+/// is the number of targets that the request has reached so far.
 fn response_deadline(
     shared: &GatewayShared,
     request: &RequestState,
@@ -399,13 +413,17 @@
     if !may_retry {
         return request.deadline;
     }
-    let attempt_deadline = request.limits(shared.options.callers_stay).attempt_deadline(Instant::now());
+    let attempt_deadline =
+        request.limits(shared.options.callers_stay).attempt_deadline(Instant::now());
     let model = request.terms.model.as_ref();
     let dispatch = shared.dispatch.borrow();
-    // Failure guarded: a request waits in a full engine until after the bound and begins on old
-    // weights. It is taken back before, while there is still time to close its connection.
+    // Without this, a request could wait in a full engine until after the staleness bound and then
+    // start on superseded weights. It is cancelled while there is still time to reset its
+    // connection.
     let start_deadline = model.and_then(|model| dispatch.targets.start_deadline(target, model));
-    start_deadline.map_or(attempt_deadline, |start_deadline| attempt_deadline.min(start_deadline + START_DEADLINE_GRACE))
+    start_deadline.map_or(attempt_deadline, |start_deadline| {
+        attempt_deadline.min(start_deadline + START_DEADLINE_GRACE)
+    })
 }
 
 async fn relay_response(
@@ -423,7 +441,8 @@
     }
 }
 
-/// Sends an answer of our own.
+/// Sends an error response to the caller. `id` is the id of the request, empty if it was not read
+/// completely.
 pub(crate) async fn send_error(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
@@ -437,11 +456,15 @@
         reason = error.kind.slug(),
         verdict = ?error.kind.verdict(),
         retry_after_millis = error.retry_after.map_or(0, |after| after.as_millis() as u64),
-        "refused"
+        "sending error response"
     );
     let close = !keep_alive || shared.phase() != StopPhase::Running;
     if caller.write(&error.encode(close)).await.is_err() {
         return ConnectionAction::Reset;
     }
-    if close || error.closes_connection() { ConnectionAction::Close } else { ConnectionAction::Keep }
+    if close || error.closes_connection() {
+        ConnectionAction::Close
+    } else {
+        ConnectionAction::Keep
+    }
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to targets.
+//! Idle connections to targets, kept for reuse.
 
 use egretseam_h1::{ConnectionOptions, HttpConnection};
 use egretseam_serving::TargetId;
@@ -6,17 +6,17 @@
 use std::{io, net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// How long a new connection may take: several round trips between regions, and less than the
-/// second after which a lost opening packet would be sent again, so that another target is tried.
+/// Timeout for opening a connection: several round trips between regions, and less than the second
+/// after which a lost SYN packet is retransmitted, so that another target is tried instead.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The same for a further attempt of a stream, whose caller leaves within a second: many times a round
-/// trip between regions. Failure guarded: a handshake that takes longer shows a queue on the way, in which
-/// the request would wait too; one was run 0.5 s after its caller had left.
+/// The same for a retry of a stream, whose caller disconnects within a second: many times a round
+/// trip between regions. A handshake that takes longer shows a queue at the link, in which the
+/// request would wait too. Without this limit, a request ran 0.5 s after its caller had left.
 pub(crate) const STREAM_RETRY_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Longest time that an idle connection is kept where the target names none.
+/// Idle timeout of targets that state none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Part of the target's own idle limit after which a connection is not used any more, so that a
-/// request seldom crosses the target's close.
+/// Share of the target's idle timeout after which a connection is no longer reused, so that a
+/// request is seldom sent while the target closes it.
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
 /// Most idle connections to one target.
 const MAX_IDLE_PER_TARGET: usize = 16;
@@ -34,13 +34,13 @@
 }
 
 impl ConnectionPool {
-    /// A kept connection that is fit for a request.
+    /// Removes and returns an idle connection that can carry a request.
     pub(crate) fn take(&mut self, target: &TargetId, now: Instant) -> Option<HttpConnection> {
         let connections = self.idle.get_mut(target)?;
         while let Some(idle) = connections.pop() {
-            // Failure guarded: a target may send a second answer, or close, while a connection is
-            // idle. It would show as another request's answer, or as a request that is lost. A
-            // connection with anything to read is dropped.
+            // A target may send a second response, or close, while a connection is idle. Reusing
+            // the connection would return another request's response or lose the request, so one
+            // with anything to read is dropped.
             if now < idle.expires_at && idle.connection.is_quiet() {
                 return Some(idle.connection);
             }
@@ -48,7 +48,8 @@
         None
     }
 
-    /// Keeps a connection whose last answer has been read whole.
+    /// Adds a connection whose last response has been read completely. `idle_timeout` is the
+    /// target's, if it states one.
     pub(crate) fn put(
         &mut self,
         target: &TargetId,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Drops what is too old.
+    /// Drops connections that have been idle for too long.
     pub(crate) fn expire(&mut self, now: Instant) {
         for connections in self.idle.values_mut() {
             connections.retain(|idle| now < idle.expires_at);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,7 +1,7 @@
-//! Passing a target's answer on to the caller.
+//! Forwards a target's response to the caller.
 
 use crate::{
-    attempt::{AttemptFailure, OpenResponse, MAX_PIPELINED_BYTES},
+    attempt::{AttemptFailure, MAX_PIPELINED_BYTES, OpenResponse},
     events::{EventBuffer, last_event_id},
     forward::ConnectionAction,
     request::RequestState,
@@ -13,14 +13,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Largest answer that is no stream. It is read whole before any of it is passed on, so that one
-/// that breaks off can be asked for again or reported as broken.
+/// Largest body of a response that is not a stream. It is read completely before any of it is
+/// forwarded, so that the request can be retried or an error sent if the response breaks off.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// Longest silence within a stream that may go on elsewhere. Longer than a switch of weights makes
-/// an engine pause, shorter than the two seconds after which callers leave.
-const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Longest pause within a stream before it is resumed at another target, where its route allows
+/// retries. Longer than an engine pauses to switch weights, shorter than the two seconds after
+/// which callers disconnect.
+const MAX_STREAM_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Fields that concern one connection only and are never passed on.
+/// Header fields that belong to one connection or its framing and are not forwarded.
 const UNFORWARDED_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -32,19 +33,19 @@
     "content-length",
 ];
 
-/// How passing an answer on ended.
+/// How forwarding a response ended.
 pub(crate) enum RelayOutcome {
-    /// The caller has the whole answer.
+    /// The caller has the complete response.
     Complete(ConnectionAction),
-    /// The caller has the whole answer, and it is a failure of the target's.
+    /// The caller has the complete response, with a status of 500 or above from the target.
     ErrorStatus(ConnectionAction),
-    /// The answer broke off.
+    /// The response broke off or timed out.
     Broken(AttemptFailure),
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
-/// Whether the caller's connection stays open after this answer.
+/// Whether the caller's connection stays open after this response.
 fn keeps_connection(shared: &GatewayShared, request: &RequestState) -> bool {
     request.head.keeps_alive() && shared.phase() == StopPhase::Running
 }
@@ -64,7 +65,7 @@
     writer
 }
 
-/// Passes on an answer that is no stream.
+/// Reads a response that is not a stream, then forwards it.
 pub(crate) async fn buffered(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
@@ -81,7 +82,7 @@
     let body = match body {
         Ok(Ok(body)) => body,
         Ok(Err(error)) => {
-            tracing::info!(request_id = %request.terms.id, %error, "an answer broke off");
+            tracing::info!(request_id = %request.terms.id, %error, "failed to read a response");
             return RelayOutcome::Broken(AttemptFailure::Broken);
         }
         Err(_) => return RelayOutcome::Broken(AttemptFailure::TimedOut),
@@ -105,8 +106,8 @@
     if is_error { RelayOutcome::ErrorStatus(action) } else { RelayOutcome::Complete(action) }
 }
 
-/// Passes on a stream, event by event as they come. After a break the caller's answer stays open
-/// while another attempt goes on behind the last event.
+/// Forwards a stream as complete events arrive. After a break the caller's response stays open, and
+/// another attempt resumes the stream after the last forwarded event.
 pub(crate) async fn stream(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
@@ -144,7 +145,7 @@
     }
 }
 
-/// The next bytes of the stream, or how it ended.
+/// Reads the next bytes of the stream; `None` at its end.
 async fn next_chunk(
     caller: &mut HttpConnection,
     request: &RequestState,
@@ -152,7 +153,7 @@
     response: &mut OpenResponse,
 ) -> Result<Option<Bytes>, RelayOutcome> {
     let read_deadline = if request.route.kind.may_retry() {
-        (Instant::now() + STREAM_IDLE_TIMEOUT).min(request.deadline)
+        (Instant::now() + MAX_STREAM_PAUSE).min(request.deadline)
     } else {
         request.deadline
     };
@@ -164,7 +165,7 @@
     match chunk {
         Ok(Ok(chunk)) => Ok(chunk),
         Ok(Err(error)) => {
-            tracing::info!(request_id = %request.terms.id, %error, "a stream broke off");
+            tracing::info!(request_id = %request.terms.id, %error, "failed to read a stream");
             Err(RelayOutcome::Broken(AttemptFailure::Broken))
         }
         Err(_) => Err(RelayOutcome::Broken(AttemptFailure::TimedOut)),
@@ -214,10 +215,18 @@
     if write_before(caller, &bytes, request.deadline).await.is_err() {
         return RelayOutcome::CallerLeft;
     }
-    RelayOutcome::Complete(if keep_alive { ConnectionAction::Keep } else { ConnectionAction::Close })
+    RelayOutcome::Complete(if keep_alive {
+        ConnectionAction::Keep
+    } else {
+        ConnectionAction::Close
+    })
 }
 
-async fn write_before(caller: &mut HttpConnection, bytes: &[u8], deadline: Instant) -> Result<(), ()> {
+async fn write_before(
+    caller: &mut HttpConnection,
+    bytes: &[u8],
+    deadline: Instant,
+) -> Result<(), ()> {
     match tokio::time::timeout_at(deadline, caller.write(bytes)).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) | Err(_) => Err(()),
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! What is known of one request while it is served.
+//! State of one request while it is served.
 
 use crate::dialect::RequestTerms;
 use bytes::Bytes;
@@ -8,7 +8,7 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// What is known of a request while it is served.
+/// State of a request while it is served.
 pub(crate) struct RequestState {
     pub(crate) head: RequestHead,
     pub(crate) terms: RequestTerms,
@@ -18,23 +18,23 @@
     pub(crate) service: ServiceName,
     pub(crate) received_at: Instant,
     pub(crate) deadline: Instant,
-    /// How long the caller tried before this request reached this entry.
+    /// How long the caller had been trying when this request arrived; zero for a first attempt.
     pub(crate) tried_before: Duration,
-    /// Last event passed on to the caller by this entry, if any.
+    /// Id of the last event that this entry forwarded to the caller, if any.
     pub(crate) last_event_id: Option<String>,
-    /// Whether the head of the answer has been sent to the caller.
+    /// Whether the head of a streamed response has been sent to the caller.
     pub(crate) response_started: bool,
-    /// Time spent waiting for places.
+    /// Total time spent waiting for slots.
     pub(crate) waited: Duration,
-    /// Time from the request to the head of its answer.
+    /// Time from receiving the request to the head of its response.
     pub(crate) time_to_first_byte: Duration,
-    /// Time from the request to the first piece of a stream.
+    /// Time from receiving the request to forwarding the first events of a stream.
     pub(crate) time_to_first_event: Duration,
-    /// Longest time between two pieces of a stream.
+    /// Longest time between forwarding two groups of events of a stream.
     pub(crate) longest_pause: Duration,
-    /// When the last piece was passed on.
+    /// When events of a stream were last forwarded.
     pub(crate) last_forwarded_at: Option<Instant>,
-    /// Status of the answer passed on.
+    /// Status of the response that is forwarded.
     pub(crate) status: u16,
 }
 
@@ -43,7 +43,7 @@
         self.holder.as_ref().map(|holder| &holder.organisation)
     }
 
-    /// Notes that a piece of a stream was passed on.
+    /// Records that events of a stream were forwarded.
     pub(crate) fn record_forwarded(&mut self, now: Instant) {
         match self.last_forwarded_at.replace(now) {
             None => self.time_to_first_event = now.saturating_duration_since(self.received_at),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What limits its attempts and its waits for further places.
+    /// Time limits of its attempts and of its waits for further slots.
     pub(crate) fn limits(&self, stream_idle_timeout: Duration) -> AttemptLimits {
         AttemptLimits {
             awaits_stream: self.route.kind.is_stream() && !self.response_started,
@@ -65,7 +65,8 @@
         }
     }
 
-    /// What the request may claim of a wait, by its rank and how long its caller has been trying.
+    /// Urgency of the request in the wait queue, by its priority and how long its caller has been
+    /// trying.
     pub(crate) fn urgency(&self) -> WaitUrgency {
         if self.response_started {
             return WaitUrgency::resumed();
