--- a/tests/all/caller_codec.rs
+++ b/tests/all/caller_codec.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 codec of the entries, against hostile and broken peers on real sockets.
+//! The HTTP/1.1 codec of the entries, against hostile and faulty peers over TCP sockets.
 
 use bytes::Bytes;
 use egretseam_gateway::{EventBuffer, last_event_id};
@@ -9,23 +9,24 @@
 const HEAD_LIMIT: usize = 16 * 1024;
 const BODY_LIMIT: usize = 1024 * 1024;
 
-/// How the far end leaves after its bytes.
+/// How the peer ends the connection after sending its bytes.
 #[derive(Clone, Copy)]
 enum Ending {
     Close,
     Reset,
 }
 
-/// A connection whose far end has sent `bytes` and then left.
+/// Opens a connection whose peer sends `bytes` and then ends it.
 async fn connection_with(bytes: &[u8], ending: Ending) -> HttpConnection {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     let sent = bytes.to_vec();
-    let far = thread::spawn(move || {
+    let peer = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         stream.write_all(&sent).expect("sent");
         if matches!(ending, Ending::Reset) {
-            // The bytes are read on the other side before the reset overtakes them.
+            // Waits for a byte from the other side, so that it reads the bytes before the reset
+            // arrives.
             let mut byte = [0];
             std::io::Read::read(&mut stream, &mut byte).ok();
             socket_linger_zero(&stream);
@@ -34,7 +35,7 @@
     let stream = tokio::net::TcpStream::connect(address).await.expect("connected");
     let connection = HttpConnection::new(stream, &ConnectionOptions::default()).expect("set up");
     if matches!(ending, Ending::Close) {
-        far.join().expect("the far end ends");
+        peer.join().expect("the peer thread ends");
     }
     connection
 }
@@ -61,11 +62,11 @@
     assert_eq!(empty.expect("read"), ("/c?d=e".to_owned(), Bytes::new()));
 }
 
-/// What users would see: a request that nobody sent runs at a target. A caller hides it in the
-/// body of another one, by a head whose length two readers understand differently. Every such head
-/// must be refused before anything is passed on.
+/// Guards against request smuggling: a caller hides a request in the body of another one, by a head
+/// whose length two parsers read differently. Every such head must be rejected before anything is
+/// forwarded.
 #[actix_rt::test]
-async fn refuses_heads_whose_length_is_ambiguous() {
+async fn rejects_heads_with_an_ambiguous_length() {
     let heads = [
         "Content-Length: 3\r\nContent-Length: 4",
         "Content-Length: 3\r\nContent-Length: 3",
@@ -87,7 +88,7 @@
 }
 
 #[actix_rt::test]
-async fn refuses_what_is_not_http_or_too_large() {
+async fn rejects_messages_that_are_malformed_or_too_large() {
     let garbage = read_request("\u{1}\u{2}nonsense\r\n\r\n").await;
     assert!(matches!(garbage, Err(ReadError::Head(HeadError::Malformed))), "{garbage:?}");
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "a".repeat(HEAD_LIMIT));
@@ -106,63 +107,66 @@
 }
 
 #[actix_rt::test]
-async fn a_body_that_ends_early_is_an_error() {
+async fn truncated_body_is_an_error() {
     let fixed = read_request("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabc").await;
     assert!(matches!(fixed, Err(ReadError::Closed)), "{fixed:?}");
     let chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n";
     assert!(matches!(read_request(chunked).await, Err(ReadError::Closed)));
 }
 
-/// What users would see: half an answer that looks whole. A target's answer has neither a length
-/// nor chunks and ends with its connection; the target crashes in the middle of it, and the system
-/// resets the connection. Only an orderly close may end such an answer.
+/// Guards against a truncated response that looks complete. A response without a length or chunks
+/// ends with its connection; if the target crashes in the middle of it, the kernel resets the
+/// connection. Only an orderly close may end such a response.
 #[actix_rt::test]
-async fn an_answer_without_length_is_whole_only_after_an_orderly_close() {
-    let answer = b"HTTP/1.1 200 OK\r\n\r\nhalf an answer";
-    let mut whole = connection_with(answer, Ending::Close).await;
-    let head = whole.read_response().await.expect("a head");
-    let body = whole.read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT).await;
-    assert_eq!(body.expect("whole"), Bytes::from("half an answer"));
-
-    let mut broken = connection_with(answer, Ending::Reset).await;
-    let head = broken.read_response().await.expect("a head");
-    broken.write(b"!").await.expect("the far end still reads");
-    let body = broken.read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT).await;
+async fn response_without_length_is_complete_only_after_an_orderly_close() {
+    let response = b"HTTP/1.1 200 OK\r\n\r\nhalf an answer";
+    let mut closed = connection_with(response, Ending::Close).await;
+    let head = closed.read_response().await.expect("a head");
+    let body = closed.read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT).await;
+    assert_eq!(body.expect("a complete body"), Bytes::from("half an answer"));
+
+    let mut reset = connection_with(response, Ending::Reset).await;
+    let head = reset.read_response().await.expect("a head");
+    reset.write(b"!").await.expect("the peer still reads");
+    let body = reset.read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT).await;
     assert!(matches!(body, Err(ReadError::Io(_))), "{body:?}");
 }
 
-/// What users would see: the answer to somebody else's request. A target sends a second answer on
-/// a connection after it was kept. A connection with anything to read must not be used again.
+/// Guards against returning the response to another request. A target sends a second response on an
+/// idle connection; one with anything to read must not be reused.
 #[actix_rt::test]
-async fn a_kept_connection_with_bytes_or_an_end_is_not_quiet() {
-    let answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    let mut once = connection_with(answer.as_bytes(), Ending::Close).await;
+async fn idle_connection_with_bytes_or_an_end_is_not_quiet() {
+    let response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    let mut once = connection_with(response.as_bytes(), Ending::Close).await;
     let head = once.read_response().await.expect("a head");
     let body = once.read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT).await;
-    assert_eq!(body.expect("whole"), Bytes::from("ok"));
-    assert!(!once.is_quiet(), "the far end has closed");
-
-    let twice = format!("{answer}{answer}");
-    let mut doubled = connection_with(twice.as_bytes(), Ending::Close).await;
-    let head = doubled.read_response().await.expect("a head");
-    doubled.read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT).await.expect("whole");
-    assert!(!doubled.is_quiet(), "a second answer is there");
+    assert_eq!(body.expect("a complete body"), Bytes::from("ok"));
+    assert!(!once.is_quiet(), "the peer has closed");
+
+    let twice = format!("{response}{response}");
+    let mut connection = connection_with(twice.as_bytes(), Ending::Close).await;
+    let head = connection.read_response().await.expect("a head");
+    connection
+        .read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT)
+        .await
+        .expect("a complete body");
+    assert!(!connection.is_quiet(), "a second response has arrived");
 }
 
 #[test]
-fn the_last_event_id_is_found() {
+fn finds_the_last_event_id() {
     assert_eq!(last_event_id(b"id: 7\ndata: a\n\nid: 8\ndata: b\n\n"), Some("8"));
     assert_eq!(last_event_id(b"id:9\n\n"), Some("9"));
     assert_eq!(last_event_id(b"data: no id\n\n"), None);
 }
 
 proptest! {
-    /// However a stream is cut into pieces, only whole events come out, in order, and nothing is
-    /// lost or doubled.
+    /// However a stream is split into chunks, the buffer returns only complete events, in order,
+    /// without loss or duplication.
     #[test]
-    fn events_come_out_whole_however_they_are_cut(
+    fn buffer_returns_complete_events_however_the_stream_is_split(
         events in proptest::collection::vec("[a-z\n]{0,12}", 0..20),
-        cuts in proptest::collection::vec(1_usize..9, 1..80),
+        lengths in proptest::collection::vec(1_usize..9, 1..80),
     ) {
         let stream: String = events
             .iter()
@@ -172,12 +176,12 @@
         let mut buffer = EventBuffer::default();
         let mut seen = Vec::new();
         let mut rest = stream.as_bytes();
-        let mut cuts = cuts.iter().cycle();
+        let mut lengths = lengths.iter().cycle();
         while !rest.is_empty() {
-            let (piece, tail) = rest.split_at((*cuts.next().expect("a cycle")).min(rest.len()));
-            if let Some(whole) = buffer.push(piece) {
-                prop_assert!(whole.ends_with(b"\n\n"));
-                seen.extend_from_slice(&whole);
+            let (chunk, tail) = rest.split_at((*lengths.next().expect("a cycle")).min(rest.len()));
+            if let Some(complete) = buffer.push(chunk) {
+                prop_assert!(complete.ends_with(b"\n\n"));
+                seen.extend_from_slice(&complete);
             }
             rest = tail;
         }
--- a/tests/all/fleet/answers.rs
+++ b/tests/all/fleet/answers.rs
@@ -1,4 +1,4 @@
-//! What callers get when targets fail, and what certainly did not run twice.
+//! Responses to callers when targets fail, and requests that must not run twice.
 
 use super::bed::{EVENTS, FleetBed, KEY, Script, ScriptedTarget, request};
 use std::{rc::Rc, time::Duration};
@@ -8,34 +8,36 @@
 }
 
 #[actix_rt::test]
-async fn a_request_gets_its_targets_whole_answer() {
+async fn forwards_the_request_and_the_complete_response() {
     let mut bed = FleetBed::start().await;
     let target = bed.target("i-1").await;
     let fields =
         "X-Tenant: forged\r\nX-Target-Instance: forged\r\nConnection: X-Hop\r\nX-Hop: 1\r\n";
-    let answer = bed.ask(&request("/once/1?q=2", "r1", fields, "body")).await.expect("whole");
-    assert_eq!((answer.status, answer.body.as_str()), (200, "r1 by i-1"));
-    assert_eq!(answer.signature.as_deref(), Some("i-1"));
+    let response =
+        bed.ask(&request("/once/1?q=2", "r1", fields, "body")).await.expect("a complete response");
+    assert_eq!((response.status, response.body.as_str()), (200, "r1 by i-1"));
+    assert_eq!(response.signature.as_deref(), Some("i-1"));
     let arrival = target.arrivals.borrow()[0].clone();
     assert_eq!((arrival.path.as_str(), &arrival.body[..]), ("/once/1?q=2", &b"body"[..]));
     assert_eq!(arrival.organisation.as_deref(), Some("kehila"));
-    assert_eq!(arrival.authorization, None, "the key stays here");
+    assert_eq!(arrival.authorization, None, "the API key is not forwarded");
     assert!(arrival.time_left.is_some_and(|left| left <= 5_000));
 }
 
-/// What users would see: a household is billed twice. A target takes a request that must not be
-/// repeated and its connection breaks before the answer. Nobody knows whether it ran, so it must
-/// not be sent again, and the caller must not be told that it did not run.
+/// Guards against running a non-idempotent request twice, which would bill a household twice. The
+/// connection to the target breaks before its response, so the request may have run: it must not be
+/// retried, and the caller must not be told that it did not run.
 #[actix_rt::test]
-async fn a_request_that_may_have_run_is_not_repeated() {
+async fn non_idempotent_request_that_may_have_run_is_not_retried() {
     let mut bed = FleetBed::start().await;
     let (one, two) = (bed.target("i-1").await, bed.target("i-2").await);
     for script in [Script::Close, Script::Unsigned] {
         one.then(script.clone());
         two.then(script);
         let before = one.arrived() + two.arrived();
-        let answer = bed.ask(&request("/once/1", "r1", "", "")).await.expect("whole");
-        assert_eq!(answer.status, 502);
+        let response =
+            bed.ask(&request("/once/1", "r1", "", "")).await.expect("a complete response");
+        assert_eq!(response.status, 502);
         assert_eq!(one.arrived() + two.arrived(), before + 1);
         one.reset();
         two.reset();
@@ -43,72 +45,78 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_may_be_repeated_goes_to_another_target() {
+async fn idempotent_request_is_retried_at_another_target() {
     let mut bed = FleetBed::start().await;
     let (one, two) = (bed.target("i-1").await, bed.target("i-2").await);
     for script in [Script::Close, Script::Unsigned, Script::Hang] {
         one.then(script.clone());
         two.then(script);
-        let answer = bed.ask(&request("/safe/1", "r1", "", "")).await.expect("whole");
-        // Both were scripted to fail once; the second attempt is the last that the route allows.
+        let response =
+            bed.ask(&request("/safe/1", "r1", "", "")).await.expect("a complete response");
+        // Both targets fail once; the second attempt is the last that the route allows.
         let (first, second) = (one.arrived(), two.arrived());
         assert_eq!(first + second, 2, "each attempt goes to another target");
-        assert!(answer.status >= 502, "{answer:?}");
+        assert!(response.status >= 502, "{response:?}");
         one.reset();
         two.reset();
     }
     one.then(Script::Close);
     let mut served = 0;
     for _ in 0..4 {
-        let answer = bed.ask(&request("/safe/1", "r2", "", "")).await.expect("whole");
-        served += usize::from(answer.status == 200);
+        let response =
+            bed.ask(&request("/safe/1", "r2", "", "")).await.expect("a complete response");
+        served += usize::from(response.status == 200);
     }
     assert_eq!(served, 4);
 }
 
 #[actix_rt::test]
-async fn what_a_target_says_it_did_not_run_is_sent_on_or_truly_refused() {
+async fn request_that_a_target_did_not_run_is_retried_or_rejected_as_not_run() {
     let mut bed = FleetBed::start().await;
     let one = bed.target("i-1").await;
     one.then(Script::Full);
-    let answer = bed.ask(&request("/once/1", "r1", "", "")).await.expect("whole");
-    assert_eq!(answer.status, 503, "there is no other target");
-    assert!(answer.retry_after.is_some_and(|after| after > 0.0));
+    let response = bed.ask(&request("/once/1", "r1", "", "")).await.expect("a complete response");
+    assert_eq!(response.status, 503, "there is no other target");
+    assert!(response.retry_after.is_some_and(|after| after > 0.0));
     let two = bed.target("i-2").await;
     one.then(Script::Misdirected);
     two.then(Script::Misdirected);
-    let answer = bed.ask(&request("/once/1", "r2", "", "")).await.expect("whole");
-    assert_eq!(answer.status, 503);
+    let response = bed.ask(&request("/once/1", "r2", "", "")).await.expect("a complete response");
+    assert_eq!(response.status, 503);
     assert_eq!(two.arrived() + one.arrived(), 3);
 }
 
 #[actix_rt::test]
-async fn a_targets_own_failure_is_passed_on_unchanged() {
+async fn error_response_of_a_target_is_forwarded_unchanged() {
     let mut bed = FleetBed::start().await;
     let target = bed.target("i-1").await;
     target.then(Script::Fail);
-    let answer = bed.ask(&request("/once/1", "r1", "", "")).await.expect("whole");
-    assert_eq!((answer.status, answer.body.as_str()), (500, "failed"));
-    assert_eq!(answer.signature.as_deref(), Some("i-1"));
+    let response = bed.ask(&request("/once/1", "r1", "", "")).await.expect("a complete response");
+    assert_eq!((response.status, response.body.as_str()), (500, "failed"));
+    assert_eq!(response.signature.as_deref(), Some("i-1"));
 }
 
-/// What users would see: a sentence of an answer is missing, or stands there twice. A target breaks
-/// off in the middle of an event; the stream goes on at another target behind the last whole
-/// event, inside the same answer.
+/// Guards against missing or duplicated events in a resumed stream, which callers would see as a
+/// missing or repeated sentence. A target breaks off in the middle of an event; the same response
+/// must continue at another target after the last complete event.
 #[actix_rt::test]
-async fn a_broken_stream_goes_on_behind_its_last_whole_event() {
+async fn broken_stream_resumes_after_its_last_complete_event() {
     let mut bed = FleetBed::start().await;
     let (one, two) = (bed.target("i-1").await, bed.target("i-2").await);
     one.then(Script::CutAfter(3));
     two.then(Script::CutAfter(3));
-    let answer = bed.ask(&request("/stream/1", "r1", "", "")).await;
-    assert!(answer.is_err(), "both broke off, so the answer must be visibly broken: {answer:?}");
+    let response = bed.ask(&request("/stream/1", "r1", "", "")).await;
+    assert!(
+        response.is_err(),
+        "both attempts broke off, but the response looks complete: {response:?}"
+    );
     one.then(Script::CutAfter(5));
-    // Targets are drawn by lot: with six requests, one run in 64 never met the first target.
+    // Targets are chosen at random: with six requests, one run in 64 never reached the first one.
     let resumed = || two.arrivals.borrow().iter().any(|a| a.last_event.as_deref() == Some("5"));
     for _ in 0..64 {
-        let answer = bed.ask(&request("/stream/1", "r2", "", "")).await.expect("whole");
-        assert_eq!(answer.body, events(1..=EVENTS));
+        let response =
+            bed.ask(&request("/stream/1", "r2", "", "")).await.expect("a complete response");
+        assert_eq!(response.body, events(1..=EVENTS));
         if resumed() {
             break;
         }
@@ -117,30 +125,33 @@
 }
 
 #[actix_rt::test]
-async fn a_stream_begins_where_the_caller_says() {
+async fn stream_starts_after_the_last_event_id_of_the_caller() {
     let mut bed = FleetBed::start().await;
     bed.target("i-1").await;
     let text = request("/stream/1", "r1", "Last-Event-Id: 5\r\n", "");
-    let answer = bed.ask(&text).await.expect("whole");
-    assert_eq!(answer.body, events(6..=EVENTS));
+    let response = bed.ask(&text).await.expect("a complete response");
+    assert_eq!(response.body, events(6..=EVENTS));
 }
 
-/// What users would see: somebody else's answer. A target answers one request twice; the second
-/// answer waits on the kept connection where the next request's is expected.
+/// Guards against forwarding the response to another request. A target responds to one request
+/// twice; the second response arrives on the reused connection where that to the next request is
+/// expected.
 #[actix_rt::test]
-async fn a_second_answer_is_never_given_to_the_next_request() {
+async fn duplicate_response_is_not_forwarded_to_the_next_request() {
     let mut bed = FleetBed::start().await;
     let target = bed.target("i-1").await;
     for number in 0..20 {
         target.then(Script::Twice);
         let id = format!("r{number}");
-        let answer = bed.ask(&request("/once/1", &id, "", "")).await.expect("whole");
-        assert_eq!(answer.body, format!("{id} by i-1"));
+        let response =
+            bed.ask(&request("/once/1", &id, "", "")).await.expect("a complete response");
+        assert_eq!(response.body, format!("{id} by i-1"));
     }
 }
 
-/// A target whose only request was at work when its caller left, once its connection has ended.
-async fn left_at_work(bed: &mut FleetBed) -> Rc<ScriptedTarget> {
+/// Starts a target, sends it a request that hangs, disconnects the caller and waits until the
+/// target sees its connection end.
+async fn target_after_caller_left(bed: &mut FleetBed) -> Rc<ScriptedTarget> {
     let target = bed.target("i-1").await;
     target.then(Script::Hang);
     let mut caller = bed.caller().await;
@@ -151,12 +162,13 @@
     target
 }
 
-/// What users would see: targets busy with answers that nobody reads. A caller leaves while its
-/// request is at work; the target must see its connection close.
+/// Guards against targets that work on responses nobody reads. A caller disconnects while its
+/// request runs, before the response or in the middle of a stream; the target must see its
+/// connection end.
 #[actix_rt::test]
-async fn a_target_is_told_when_the_caller_leaves() {
+async fn connection_to_the_target_ends_when_the_caller_disconnects() {
     let mut bed = FleetBed::start().await;
-    let target = left_at_work(&mut bed).await;
+    let target = target_after_caller_left(&mut bed).await;
 
     target.then(Script::Slow(Duration::from_millis(50)));
     let mut caller = bed.caller().await;
@@ -167,76 +179,80 @@
 }
 
 #[actix_rt::test]
-async fn a_request_whose_time_is_over_is_answered() {
+async fn request_past_its_deadline_gets_a_response() {
     let mut bed = FleetBed::start().await;
     let target = bed.target("i-1").await;
     target.then(Script::Hang);
     let text = request("/once/1", "r1", "", "").replace("Ms: 5000", "Ms: 300");
-    assert_eq!(bed.ask(&text).await.expect("whole").status, 504, "it may have run");
+    assert_eq!(bed.ask(&text).await.expect("a complete response").status, 504, "it may have run");
 }
 
 #[actix_rt::test]
-async fn improper_requests_get_one_clear_answer() {
+async fn invalid_requests_get_a_matching_error_status() {
     let mut bed = FleetBed::start().await;
     let target = bed.target("i-1").await;
-    let proper = request("/once/1", "r1", "", "body");
+    let valid = request("/once/1", "r1", "", "body");
     let cases = [
         (404, request("/nowhere/1", "r1", "", "")),
-        (404, proper.replace("a.example", "b.example")),
-        (401, proper.replace(KEY, "key-x")),
-        (401, proper.replace(&format!("Authorization: Bearer {KEY}\r\n"), "")),
-        (400, proper.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5")),
+        (404, valid.replace("a.example", "b.example")),
+        (401, valid.replace(KEY, "key-x")),
+        (401, valid.replace(&format!("Authorization: Bearer {KEY}\r\n"), "")),
+        (400, valid.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5")),
         (400, "nonsense\r\n\r\n".to_owned()),
-        (413, proper.replace("Content-Length: 4", "Content-Length: 5000000")),
-        (431, proper.replace("Host:", &format!("X-Long: {}\r\nHost:", "a".repeat(20_000)))),
+        (413, valid.replace("Content-Length: 4", "Content-Length: 5000000")),
+        (431, valid.replace("Host:", &format!("X-Long: {}\r\nHost:", "a".repeat(20_000)))),
     ];
     for (status, text) in cases {
-        assert_eq!(bed.ask(&text).await.expect("whole").status, status, "{text:.80}");
+        assert_eq!(bed.ask(&text).await.expect("a complete response").status, status, "{text:.80}");
     }
     assert_eq!(target.arrived(), 0);
 }
 
 #[actix_rt::test]
-async fn a_kept_connection_carries_request_after_request() {
+async fn caller_connection_is_reused_for_several_requests() {
     let mut bed = FleetBed::start().await;
     bed.target("i-1").await;
     let mut caller = bed.caller().await;
-    // Two sent ahead, as callers may.
+    // Pipelined requests.
     let two = request("/once/1", "r1", "", "a") + &request("/stream/1", "r2", "", "b");
     caller.send(&two).await;
-    assert_eq!(caller.read().await.expect("whole").body, "r1 by i-1");
-    assert_eq!(caller.read().await.expect("whole").body, events(1..=EVENTS));
+    assert_eq!(caller.read().await.expect("a complete response").body, "r1 by i-1");
+    assert_eq!(caller.read().await.expect("a complete response").body, events(1..=EVENTS));
     caller.send(&request("/safe/1", "r3", "", "")).await;
-    assert_eq!(caller.read().await.expect("whole").body, "r3 by i-1");
+    assert_eq!(caller.read().await.expect("a complete response").body, "r3 by i-1");
 }
 
-/// What operators would see: targets that begin requests whose callers have left. The request is still
-/// queued before a narrow link when the caller leaves; an orderly close waits behind it, and the target
-/// runs it. A reset discards what is queued.
+/// Guards against targets that start requests whose callers have left. When the caller disconnects,
+/// its request may still be queued at a slow link; an orderly close would wait behind it, and the
+/// target would run it. A reset discards the queued bytes.
 #[actix_rt::test]
-async fn an_attempt_that_is_given_up_is_reset() {
+async fn cancelled_attempt_resets_its_connection() {
     let mut bed = FleetBed::start().await;
-    let target = left_at_work(&mut bed).await;
+    let target = target_after_caller_left(&mut bed).await;
     assert_eq!(target.reset_count.get(), 1);
 }
 
-/// What operators would see: targets that begin requests whose callers have left. A stream's first
-/// target fails, and its second attempt waits on a kept connection before a link that narrowed a moment
-/// ago. The handshake of a new connection finds out before anything is sent.
+/// Guards against targets that start requests whose callers have left. The first attempt of a
+/// stream fails, and the retry on an idle connection would be queued at a link that became slow a
+/// moment ago. The handshake of a new connection shows the delay before the request is sent.
 #[actix_rt::test]
-async fn a_further_attempt_of_a_stream_opens_a_connection() {
+async fn retry_of_a_stream_opens_a_new_connection() {
     let mut bed = FleetBed::start().await;
     let (one, two) = (bed.target("i-1").await, bed.target("i-2").await);
     let stream = request("/stream/1", "r1", "", "");
     while one.arrived() == 0 || two.arrived() == 0 {
-        bed.ask(&stream).await.expect("whole");
+        bed.ask(&stream).await.expect("a complete response");
     }
     let opened = || one.opened.get() + two.opened.get();
-    let kept = opened();
-    bed.ask(&stream).await.expect("whole");
-    assert_eq!(opened(), kept, "a first attempt takes a kept connection");
+    let opened_before = opened();
+    bed.ask(&stream).await.expect("a complete response");
+    assert_eq!(opened(), opened_before, "the first attempt reuses an idle connection");
     one.then(Script::Close);
     two.then(Script::Close);
-    assert_eq!(bed.ask(&stream).await.expect("whole").status, 502, "both attempts fail");
-    assert_eq!(opened(), kept + 1, "the second attempt opens one");
+    assert_eq!(
+        bed.ask(&stream).await.expect("a complete response").status,
+        502,
+        "both attempts fail"
+    );
+    assert_eq!(opened(), opened_before + 1, "the second attempt opens a connection");
 }
--- a/tests/all/fleet/placing.rs
+++ b/tests/all/fleet/placing.rs
@@ -1,34 +1,34 @@
-//! Which targets get requests, and which entries callers are sent to.
+//! Which targets get requests, and which entries the directory gives to callers.
 
 use super::bed::{FleetBed, request};
 use egretseam_h1::{CallRequest, exchange};
 use serde_json::Value;
 use std::time::Duration;
 
-/// What users would see: requests fail while a target is replaced. It announces that it drains, and
-/// after the acknowledgement nothing new may reach it; when it has left, a late announcement must
+/// Guards against failed requests while a target is replaced. Once its announcement that it drains
+/// is acknowledged, no new request may reach it; once it has deregistered, a late announcement must
 /// not bring it back.
 #[actix_rt::test]
-async fn a_draining_target_gets_nothing_new() {
+async fn draining_target_gets_no_new_requests() {
     let mut bed = FleetBed::start().await;
     let (one, two) = (bed.target("i-1").await, bed.target("i-2").await);
     bed.announce(&one, "draining").await;
     bed.wait_until(|| !bed.entry.knows_target("i-1")).await;
     for number in 0..10 {
         let text = request("/once/1", &format!("r{number}"), "", "");
-        assert_eq!(bed.ask(&text).await.expect("whole").status, 200);
+        assert_eq!(bed.ask(&text).await.expect("a complete response").status, 200);
     }
     assert_eq!((one.arrived(), two.arrived()), (0, 10));
     assert_eq!(bed.call("POST", "/instances/i-2/deregister", "").await.0, 200);
     bed.wait_until(|| !bed.entry.knows_target("i-2")).await;
     bed.announce(&two, "ready").await;
-    let answer = bed.ask(&request("/once/1", "r11", "", "")).await.expect("whole");
-    assert_eq!(answer.status, 503);
+    let response = bed.ask(&request("/once/1", "r11", "", "")).await.expect("a complete response");
+    assert_eq!(response.status, 503);
     assert_eq!(two.arrived(), 10);
 }
 
 #[actix_rt::test]
-async fn callers_are_told_where_to_connect_and_the_platform_that_it_is_ready() {
+async fn entry_serves_lookups_and_readiness_checks() {
     let bed = FleetBed::start().await;
     let entry = bed.settings.entry.clone().expect("an entry");
     let get = |address, target| async move {
@@ -40,29 +40,30 @@
             limit: Duration::from_secs(5),
             max_body: 65_536,
         };
-        exchange(address, &call).await.expect("answered")
+        exchange(address, &call).await.expect("a response")
     };
     let lookup = "/lookup?name=a.example&region=r&zone=z1";
     let reply = get(entry.directory_address, lookup).await;
     let body: Value = serde_json::from_slice(&reply.body).expect("JSON");
     assert_eq!(body["addresses"][0], bed.caller_address().to_string());
     assert!(body["ttlS"].as_f64().is_some_and(|lifetime| lifetime > 0.0));
-    // A caller of another zone has asked its own zone's entries in vain; it keeps the answer longer.
-    let far = get(entry.directory_address, "/lookup?name=a.example&region=r&zone=z9").await;
-    let far: Value = serde_json::from_slice(&far.body).expect("JSON");
-    assert_eq!(far["addresses"], body["addresses"]);
-    assert!(far["ttlS"].as_f64() > body["ttlS"].as_f64());
+    // A caller of another zone asks after the entries of its own zone did not respond, and may keep
+    // the response for longer.
+    let cross_zone = get(entry.directory_address, "/lookup?name=a.example&region=r&zone=z9").await;
+    let cross_zone: Value = serde_json::from_slice(&cross_zone.body).expect("JSON");
+    assert_eq!(cross_zone["addresses"], body["addresses"]);
+    assert!(cross_zone["ttlS"].as_f64() > body["ttlS"].as_f64());
     assert_eq!(get(entry.directory_address, "/other").await.status, 404);
     assert_eq!(get(entry.health_address, "/readyz").await.status, 200);
 }
 
 #[actix_rt::test]
-async fn targets_outlive_their_control_member() {
+async fn targets_stay_in_service_after_their_control_member_stops() {
     let mut bed = FleetBed::start().await;
     bed.target("i-1").await;
-    bed.control.take().expect("it runs").stop().await;
+    bed.control.take().expect("a running control member").stop().await;
     for number in 0..5 {
         let text = request("/once/1", &format!("r{number}"), "", "");
-        assert_eq!(bed.ask(&text).await.expect("whole").status, 200);
+        assert_eq!(bed.ask(&text).await.expect("a complete response").status, 200);
     }
 }
