--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -270,7 +270,7 @@
     request.route.max_attempts.min(shared.options.most_attempts)
 }
 
-/// Ends a request that may have run without a complete response.
+/// Ends a request that may have run: resets a started stream, else returns the error to send.
 fn give_up(
     request: &RequestState,
     failure: AttemptFailure,
