--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -226,7 +226,7 @@
     options.peer_address = entry.advertised_peer_address.clone();
     options.lease = entry.lease;
     // Three watches fit into a lease, so one lost answer does not end it.
-    options.watch_wait = entry.lease / 3;
+    options.max_watch_wait = entry.lease / 3;
     options.address_lifetime = entry.address_lifetime;
     options.default_deadline = entry.default_deadline;
     options.max_body_bytes = entry.max_body_bytes as usize;
--- a/crates/entry/src/config_keeper.rs
+++ b/crates/entry/src/config_keeper.rs
@@ -24,7 +24,7 @@
             entry: shared.options.name.clone(),
             incarnation: shared.options.incarnation,
             held: shared.view.borrow().revision,
-            wait_millis: shared.options.watch_wait.as_millis() as u64,
+            wait_millis: shared.options.max_watch_wait.as_millis() as u64,
         };
         match shared.control.watch(call).await {
             Ok(WatchReply::Confirmed { update, clock }) => {
--- a/crates/entry/src/runtime.rs
+++ b/crates/entry/src/runtime.rs
@@ -46,8 +46,8 @@
     pub peer_address: String,
     /// How long a confirmed configuration is used.
     pub lease: Duration,
-    /// How long a watch may wait for a change; a fraction of the lease.
-    pub watch_wait: Duration,
+    /// Longest wait of one watch call for a change; a fraction of the lease.
+    pub max_watch_wait: Duration,
     /// How long callers may keep the list of addresses.
     pub address_lifetime: Duration,
     /// Deadline of a request that names none.
@@ -78,7 +78,7 @@
             caller_address: String::new(),
             peer_address: String::new(),
             lease: Duration::from_secs(6),
-            watch_wait: Duration::from_secs(2),
+            max_watch_wait: Duration::from_secs(2),
             address_lifetime: Duration::from_secs(10),
             default_deadline: Duration::from_secs(60),
             max_body_bytes: 8 * 1024 * 1024,
