--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -33,11 +33,11 @@
     salt: u64,
 ) -> AddressList {
     let view = shared.view();
-    let near = zone.unwrap_or(shared.options.zone.as_str());
+    let preferred_zone = zone.unwrap_or(shared.options.zone.as_str());
     let mut entries: Vec<&EntryRecord> = view.entries.values().filter(|e| !e.leaving).collect();
     entries.sort_by_key(|entry| {
-        let spread = rank(organisation.as_str(), entry.name.as_str(), salt);
-        (entry.zone.as_str() != near, spread)
+        let rank = entry_rank(organisation.as_str(), entry.name.as_str(), salt);
+        (entry.zone.as_str() != preferred_zone, rank)
     });
     let item = |entry: &&EntryRecord| AddressItem {
         address: entry.caller_address.clone(),
@@ -49,7 +49,7 @@
     }
 }
 
-fn rank(organisation: &str, entry: &str, salt: u64) -> u64 {
+fn entry_rank(organisation: &str, entry: &str, salt: u64) -> u64 {
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     let bytes = organisation.bytes().chain(entry.bytes());
     let hash = bytes.fold(salt ^ 0xcbf2_9ce4_8422_2325, |hash, byte| {
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One send of one request to one agent.
 
-use crate::{caller::CallerCall, guards::TargetGuard, shared::EntryShared};
+use crate::{caller::CallerRequest, guards::TargetGuard, shared::EntryShared};
 use actix_http::{Response, StatusCode, header::HeaderMap};
 use awc::ClientResponse;
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 /// Largest answer held whole, so that a broken one can be replaced before the caller sees it.
-const MAX_HELD_BYTES: usize = 16 * 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 16 * 1024 * 1024;
 
 /// The head of an answer, its body still to be read.
 pub(crate) struct AttemptReply {
@@ -30,19 +30,19 @@
 pub(crate) struct AttemptFailure {
     pub(crate) report: FailureReport,
     /// Whether the agent certified that it will never run the key.
-    pub(crate) key_refused: bool,
+    pub(crate) key_rejected: bool,
 }
 
 impl AttemptFailure {
-    pub(crate) fn plain(report: FailureReport) -> Self {
-        Self { report, key_refused: false }
+    pub(crate) fn key_not_rejected(report: FailureReport) -> Self {
+        Self { report, key_rejected: false }
     }
 }
 
-/// Sends `call` to `choice` and waits for the head of the answer.
+/// Sends `request` to `choice` and waits for the head of the answer.
 pub(crate) async fn send(
     shared: &Rc<EntryShared>,
-    call: &CallerCall,
+    request: &CallerRequest,
     choice: TargetChoice,
     resume_at: Option<u64>,
 ) -> Result<AttemptReply, AttemptFailure> {
@@ -50,15 +50,15 @@
     if choice.cross_zone {
         shared.counters.cross_zone.inc();
     }
-    let begun = Instant::now();
-    let result = send_head(shared, call, &choice, resume_at).await;
-    let first_byte = begun.elapsed();
+    let started = Instant::now();
+    let result = send_head(shared, request, &choice, resume_at).await;
+    let first_byte = started.elapsed();
     match result {
         Ok(response) => Ok(AttemptReply { response, choice, guard, first_byte }),
         Err(failure) => {
             guard.set_outcome(RequestOutcome::Failed(failure.report.reason));
             tracing::debug!(
-                request = call.id,
+                request = request.id,
                 target = %choice.target,
                 failure = %failure.report,
                 "a send failed"
@@ -70,50 +70,51 @@
 
 async fn send_head(
     shared: &EntryShared,
-    call: &CallerCall,
+    request: &CallerRequest,
     choice: &TargetChoice,
     resume_at: Option<u64>,
 ) -> Result<ClientResponse, AttemptFailure> {
-    let left = call.deadline.saturating_duration_since(Instant::now());
-    if left.is_zero() {
+    let time_left = request.deadline.saturating_duration_since(Instant::now());
+    if time_left.is_zero() {
         let report = FailureReport::not_run(RefusalReason::DeadlineExceeded, "no time is left");
-        return Err(AttemptFailure::plain(report));
+        return Err(AttemptFailure::key_not_rejected(report));
     }
-    let url = format!("http://{}{}", choice.address, call.path);
-    let mut request = shared.client.request(call.method.clone(), url).timeout(left);
-    for (name, value) in forwarded_headers(&call.headers) {
-        request.headers_mut().append(name.clone(), value.clone());
+    let url = format!("http://{}{}", choice.address, request.path);
+    let mut outgoing = shared.client.request(request.method.clone(), url).timeout(time_left);
+    for (name, value) in forwarded_headers(&request.headers) {
+        outgoing.headers_mut().append(name.clone(), value.clone());
     }
-    request = request
-        .insert_header((REQUEST_ID_HEADER, call.id.as_str()))
-        .insert_header((ORGANISATION_HEADER, call.organisation.as_str()))
+    outgoing = outgoing
+        .insert_header((REQUEST_ID_HEADER, request.id.as_str()))
+        .insert_header((ORGANISATION_HEADER, request.organisation.as_str()))
         .insert_header((REVISION_HEADER, shared.view.borrow().revision.to_string()))
         .insert_header((INCARNATION_HEADER, choice.incarnation.to_string()))
-        .insert_header((DEADLINE_HEADER, left.as_millis().to_string()));
+        .insert_header((DEADLINE_HEADER, time_left.as_millis().to_string()));
     if let Some(manifest) = choice.manifest {
-        request = request.insert_header((VERSION_HEADER, manifest.to_string()));
+        outgoing = outgoing.insert_header((VERSION_HEADER, manifest.to_string()));
     }
-    if let Some(key) = &call.key {
-        request = request.insert_header((IDEMPOTENCY_HEADER, key.as_str()));
+    if let Some(key) = &request.key {
+        outgoing = outgoing.insert_header((IDEMPOTENCY_HEADER, key.as_str()));
     }
     if let Some(offset) = resume_at {
-        request = request.insert_header((RESUME_HEADER, offset.to_string()));
+        outgoing = outgoing.insert_header((RESUME_HEADER, offset.to_string()));
     }
-    let response = request.send_body(call.body.clone()).await;
-    let response = response.map_err(|error| AttemptFailure::plain(send_failure(&error)))?;
+    let response = outgoing.send_body(request.body.clone()).await;
+    let response =
+        response.map_err(|error| AttemptFailure::key_not_rejected(send_failure(&error)))?;
     match reported_failure(response.headers()) {
         None => Ok(response),
         Some(report) => {
-            let key_refused = header_text(response.headers(), KEY_REFUSED_HEADER).is_some();
-            Err(AttemptFailure { report, key_refused })
+            let key_rejected = header_text(response.headers(), KEY_REFUSED_HEADER).is_some();
+            Err(AttemptFailure { report, key_rejected })
         }
     }
 }
 
 /// Reads an answer's whole body. A body that breaks off, or that does not end in time, is a
 /// failure after the send.
-pub(crate) async fn read_whole(
-    call: &CallerCall,
+pub(crate) async fn buffer_body(
+    request: &CallerRequest,
     reply: &mut AttemptReply,
 ) -> Result<Bytes, FailureReport> {
     let read = async {
@@ -122,7 +123,7 @@
             let piece = piece.map_err(|error| {
                 FailureReport::may_have_run(RefusalReason::BrokenAnswer, error.to_string())
             })?;
-            if body.len() + piece.len() > MAX_HELD_BYTES {
+            if body.len() + piece.len() > MAX_BUFFERED_BYTES {
                 let detail = "the answer is too large to hold";
                 return Err(FailureReport::may_have_run(RefusalReason::BrokenAnswer, detail));
             }
@@ -130,7 +131,7 @@
         }
         Ok(body.freeze())
     };
-    let read = tokio::time::timeout_at(call.deadline, read).await;
+    let read = tokio::time::timeout_at(request.deadline, read).await;
     let result = read.unwrap_or_else(|_| {
         let detail = "the answer did not end in time";
         Err(FailureReport::may_have_run(RefusalReason::DeadlineExceeded, detail))
@@ -144,7 +145,7 @@
 
 /// Starts the caller's answer from the target's.
 pub(crate) fn reply_head(
-    call: &CallerCall,
+    request: &CallerRequest,
     status: StatusCode,
     headers: &HeaderMap,
 ) -> actix_http::ResponseBuilder {
@@ -155,12 +156,16 @@
     if let Some(version) = header_text(headers, VERSION_HEADER) {
         builder.insert_header((VERSION_HEADER, version));
     }
-    builder.insert_header((REQUEST_ID_HEADER, call.id.as_str()));
+    builder.insert_header((REQUEST_ID_HEADER, request.id.as_str()));
     builder
 }
 
 /// A whole answer for the caller.
-pub(crate) fn whole_reply(call: &CallerCall, reply: &AttemptReply, body: Bytes) -> HttpReply {
+pub(crate) fn buffered_reply(
+    request: &CallerRequest,
+    reply: &AttemptReply,
+    body: Bytes,
+) -> HttpReply {
     let response = &reply.response;
-    reply_head(call, response.status(), response.headers()).body(body).map_into_boxed_body()
+    reply_head(request, response.status(), response.headers()).body(body).map_into_boxed_body()
 }
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -18,12 +18,12 @@
 use tokio::time::Instant;
 
 /// Longest deadline that a caller may name.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3_600);
+const MAX_TIME_LIMIT: Duration = Duration::from_secs(3_600);
 /// Longest request id taken over from a caller.
-const MAX_REQUEST_ID: usize = 64;
+const MAX_REQUEST_ID_BYTES: usize = 64;
 
 /// One request, read and checked.
-pub(crate) struct CallerCall {
+pub(crate) struct CallerRequest {
     pub(crate) id: String,
     pub(crate) organisation: OrganisationName,
     pub(crate) service: ServiceName,
@@ -35,14 +35,14 @@
     pub(crate) deadline: Instant,
     pub(crate) key: Option<RequestKey>,
     /// Whether running it twice does no harm.
-    pub(crate) repeatable: bool,
+    pub(crate) retryable: bool,
     /// Whether a model engine answers it.
     pub(crate) is_model: bool,
     pub(crate) prefix: PrefixKey,
     pub(crate) arrived: Instant,
 }
 
-impl CallerCall {
+impl CallerRequest {
     /// Digest that tells one request from another under the same key.
     pub(crate) fn digest(&self) -> ChunkDigest {
         let head = format!("{} {} {}\n", self.method, self.service, self.path);
@@ -92,28 +92,28 @@
         Self { shared }
     }
 
-    async fn answer(&self, mut request: Request) -> Result<HttpReply, FailureReport> {
-        let path = request.path().to_owned();
+    async fn respond(&self, mut http_request: Request) -> Result<HttpReply, FailureReport> {
+        let path = http_request.path().to_owned();
         match path.as_str() {
             "/healthz" => return Ok(text_reply(StatusCode::OK, "ok\n")),
             "/readyz" => return Ok(self.readiness()),
             _ => {}
         }
-        let organisation = self.authenticate(request.headers())?;
-        match (request.method(), path.as_str()) {
-            (&Method::GET, "/v1/addresses") => Ok(self.addresses(&request, &organisation)),
+        let organisation = self.authenticate(http_request.headers())?;
+        match (http_request.method(), path.as_str()) {
+            (&Method::GET, "/v1/addresses") => Ok(self.addresses(&http_request, &organisation)),
             (&Method::GET, "/v1/models") => Ok(self.models()),
             (&Method::POST, "/v1/completions" | "/v1/chat/completions") => {
-                let call = self.read_model_call(&mut request, organisation).await?;
-                forward::forward(&self.shared, call).await
+                let request = self.read_model_request(&mut http_request, organisation).await?;
+                forward::forward(&self.shared, request).await
             }
             (_, "/v1/addresses" | "/v1/models" | "/v1/completions" | "/v1/chat/completions") => {
-                let detail = request.method().to_string();
+                let detail = http_request.method().to_string();
                 Err(FailureReport::not_run(RefusalReason::MethodNotAllowed, detail))
             }
             (_, path) if path.starts_with("/services/") => {
-                let call = self.read_service_call(&mut request, organisation).await?;
-                forward::forward(&self.shared, call).await
+                let request = self.read_service_request(&mut http_request, organisation).await?;
+                forward::forward(&self.shared, request).await
             }
             _ => Err(FailureReport::not_run(RefusalReason::NotFound, path)),
         }
@@ -133,23 +133,24 @@
     /// Finds the organisation by its key's digest. Digests of random keys are looked up, never
     /// keys compared, so the time it takes says nothing about any key.
     fn authenticate(&self, headers: &HeaderMap) -> Result<OrganisationName, FailureReport> {
-        let refused = || FailureReport::not_run(RefusalReason::Unauthorized, "no valid API key");
-        let key = bearer_token(headers).ok_or_else(refused)?;
+        let unauthorized =
+            || FailureReport::not_run(RefusalReason::Unauthorized, "no valid API key");
+        let key = bearer_token(headers).ok_or_else(unauthorized)?;
         let digest = ChunkDigest::of(key.as_bytes());
         let view = self.shared.view();
         if view.organisations.is_empty() && self.shared.lease_left().is_zero() {
             let detail = "the configuration is unconfirmed";
             return Err(FailureReport::not_run(RefusalReason::LeaseExpired, detail));
         }
-        let owner =
+        let found =
             view.organisations.iter().find(|(_, record)| record.spec.key_digests.contains(&digest));
-        owner.map(|(name, _)| name.clone()).ok_or_else(refused)
+        found.map(|(name, _)| name.clone()).ok_or_else(unauthorized)
     }
 
-    fn addresses(&self, request: &Request, organisation: &OrganisationName) -> HttpReply {
-        let query = request.uri().query().unwrap_or_default();
+    fn addresses(&self, http_request: &Request, organisation: &OrganisationName) -> HttpReply {
+        let query = http_request.uri().query().unwrap_or_default();
         let zone = query.split('&').find_map(|pair| pair.strip_prefix("zone="));
-        let port = request.peer_addr().map_or(0, |peer| u64::from(peer.port()));
+        let port = http_request.peer_addr().map_or(0, |peer| u64::from(peer.port()));
         let list = addresses::list_for(&self.shared, organisation, zone, port);
         json_reply(StatusCode::OK, &list)
     }
@@ -165,61 +166,63 @@
         json_reply(StatusCode::OK, &ModelList { object: "list", data })
     }
 
-    async fn read_model_call(
+    async fn read_model_request(
         &self,
-        request: &mut Request,
+        http_request: &mut Request,
         organisation: OrganisationName,
-    ) -> Result<CallerCall, FailureReport> {
-        let path = request.path().to_owned();
-        let mut call = self.read_call(request, organisation, path).await?;
-        let bad = |detail: String| FailureReport::not_run(RefusalReason::BadRequest, detail);
+    ) -> Result<CallerRequest, FailureReport> {
+        let path = http_request.path().to_owned();
+        let mut request = self.read_request(http_request, organisation, path).await?;
+        let bad_request =
+            |detail: String| FailureReport::not_run(RefusalReason::BadRequest, detail);
         let parsed: ModelRequest =
-            serde_json::from_slice(&call.body).map_err(|e| bad(e.to_string()))?;
-        call.service = ServiceName::try_from(parsed.model.as_str())
-            .map_err(|error| bad(format!("model: {error}")))?;
-        call.prefix = PrefixKey::of(&prompt_text(&parsed));
-        call.is_model = true;
+            serde_json::from_slice(&request.body).map_err(|e| bad_request(e.to_string()))?;
+        request.service = ServiceName::try_from(parsed.model.as_str())
+            .map_err(|error| bad_request(format!("model: {error}")))?;
+        request.prefix = PrefixKey::of(&prompt_text(&parsed));
+        request.is_model = true;
         // Generating text changes nothing, so without a key it may be done again.
-        call.repeatable = call.key.is_none();
-        Ok(call)
+        request.retryable = request.key.is_none();
+        Ok(request)
     }
 
-    async fn read_service_call(
+    async fn read_service_request(
         &self,
-        request: &mut Request,
+        http_request: &mut Request,
         organisation: OrganisationName,
-    ) -> Result<CallerCall, FailureReport> {
-        let rest = request.path().trim_start_matches("/services/").to_owned();
+    ) -> Result<CallerRequest, FailureReport> {
+        let rest = http_request.path().trim_start_matches("/services/").to_owned();
         let (service, path) = rest.split_once('/').unwrap_or((rest.as_str(), ""));
         let service = ServiceName::try_from(service)
             .map_err(|error| FailureReport::not_run(RefusalReason::NotFound, error.to_string()))?;
-        let query = request.uri().query().map(|query| format!("?{query}")).unwrap_or_default();
-        let mut call = self.read_call(request, organisation, format!("/{path}{query}")).await?;
-        call.service = service;
+        let query = http_request.uri().query().map(|query| format!("?{query}")).unwrap_or_default();
+        let mut request =
+            self.read_request(http_request, organisation, format!("/{path}{query}")).await?;
+        request.service = service;
         // Only methods that by definition change nothing; a PUT or DELETE that is idempotent at
         // one service may not be at another.
-        call.repeatable = matches!(call.method, Method::GET | Method::HEAD | Method::OPTIONS)
-            && call.key.is_none();
-        Ok(call)
+        request.retryable = matches!(request.method, Method::GET | Method::HEAD | Method::OPTIONS)
+            && request.key.is_none();
+        Ok(request)
     }
 
-    async fn read_call(
+    async fn read_request(
         &self,
-        request: &mut Request,
+        http_request: &mut Request,
         organisation: OrganisationName,
         path: String,
-    ) -> Result<CallerCall, FailureReport> {
+    ) -> Result<CallerRequest, FailureReport> {
         let arrived = Instant::now();
-        let headers = request.headers().clone();
-        let deadline = arrived + self.deadline_of(&headers)?;
+        let headers = http_request.headers().clone();
+        let deadline = arrived + self.time_limit(&headers)?;
         let key = header_text(&headers, IDEMPOTENCY_HEADER).map(RequestKey::try_from).transpose();
         let key = key.map_err(|error| {
             FailureReport::not_run(RefusalReason::BadRequest, error.to_string())
         })?;
         let limit = self.shared.options.max_body_bytes;
-        let method = request.method().clone();
-        let body = read_body(&mut request.take_payload(), limit).await?;
-        Ok(CallerCall {
+        let method = http_request.method().clone();
+        let body = read_body(&mut http_request.take_payload(), limit).await?;
+        Ok(CallerRequest {
             id: self.request_id(&headers),
             organisation,
             service: ServiceName::try_from("none").expect("a valid name"),
@@ -229,14 +232,14 @@
             body,
             deadline,
             key,
-            repeatable: false,
+            retryable: false,
             is_model: false,
             prefix: PrefixKey::default(),
             arrived,
         })
     }
 
-    fn deadline_of(&self, headers: &HeaderMap) -> Result<Duration, FailureReport> {
+    fn time_limit(&self, headers: &HeaderMap) -> Result<Duration, FailureReport> {
         let Some(text) = header_text(headers, DEADLINE_HEADER) else {
             return Ok(self.shared.options.default_deadline);
         };
@@ -244,19 +247,21 @@
             let detail = format!("{DEADLINE_HEADER} is not a number of milliseconds");
             FailureReport::not_run(RefusalReason::BadRequest, detail)
         })?;
-        Ok(Duration::from_millis(millis).min(LONGEST_DEADLINE))
+        Ok(Duration::from_millis(millis).min(MAX_TIME_LIMIT))
     }
 
     /// The caller's id for the request if it is a plain one, else one of ours.
     fn request_id(&self, headers: &HeaderMap) -> String {
-        let plain = |id: &&str| {
-            !id.is_empty() && id.len() <= MAX_REQUEST_ID && id.chars().all(|c| c.is_ascii_graphic())
+        let is_valid = |id: &&str| {
+            !id.is_empty()
+                && id.len() <= MAX_REQUEST_ID_BYTES
+                && id.chars().all(|c| c.is_ascii_graphic())
         };
-        if let Some(id) = header_text(headers, REQUEST_ID_HEADER).filter(plain) {
+        if let Some(id) = header_text(headers, REQUEST_ID_HEADER).filter(is_valid) {
             return id.to_owned();
         }
-        let number = self.shared.next_request.get() + 1;
-        self.shared.next_request.set(number);
+        let number = self.shared.assigned_request_ids.get() + 1;
+        self.shared.assigned_request_ids.set(number);
         format!("{}-{:x}-{number}", self.shared.options.name, self.shared.options.incarnation.0)
     }
 }
@@ -282,9 +287,9 @@
 }
 
 impl HttpHandler for CallerHandler {
-    fn handle(self: Rc<Self>, request: Request) -> LocalBoxFuture<'static, HttpReply> {
+    fn handle(self: Rc<Self>, http_request: Request) -> LocalBoxFuture<'static, HttpReply> {
         Box::pin(async move {
-            match self.answer(request).await {
+            match self.respond(http_request).await {
                 Ok(reply) => reply,
                 Err(report) => {
                     self.shared.metrics.count_refusal(&report);
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -11,9 +11,9 @@
 use tokio::sync::oneshot;
 
 /// How long a claim may take.
-const CLAIM_LIMIT: Duration = Duration::from_secs(4);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
 /// Most claims in one command.
-const BATCH_LENGTH: usize = 256;
+const MAX_CLAIMS_PER_BATCH: usize = 256;
 
 type ClaimReply = Result<ClaimOutcome, FailureReport>;
 
@@ -26,7 +26,7 @@
 struct BatchQueue {
     waiting: RefCell<Vec<WaitingClaim>>,
     sending: Cell<bool>,
-    batches: Cell<u64>,
+    batches_sent: Cell<u64>,
 }
 
 /// Claims of one entry.
@@ -41,8 +41,8 @@
     }
 
     /// Commands sent so far.
-    pub(crate) fn batches(&self) -> u64 {
-        self.queue.batches.get()
+    pub(crate) fn batches_sent(&self) -> u64 {
+        self.queue.batches_sent.get()
     }
 
     /// Binds a key, or finds what it is bound to.
@@ -66,7 +66,7 @@
     /// As [`ClaimBatcher::claim`].
     pub(crate) async fn rebind(&self, request: RebindRequest) -> ClaimReply {
         let command = CatalogCommand::Rebind(request);
-        let reply = self.control.submit(&command, CLAIM_LIMIT).await;
+        let reply = self.control.submit(&command, CLAIM_TIMEOUT).await;
         match reply.map_err(claim_failure)? {
             CatalogReply::Claims(mut outcomes) if outcomes.len() == 1 => Ok(outcomes.remove(0)),
             other => Err(not_claimed(&format!("unexpected reply {other:?}"))),
@@ -78,21 +78,21 @@
     loop {
         let batch: Vec<WaitingClaim> = {
             let mut waiting = queue.waiting.borrow_mut();
-            let count = waiting.len().min(BATCH_LENGTH);
+            let count = waiting.len().min(MAX_CLAIMS_PER_BATCH);
             waiting.drain(..count).collect()
         };
         if batch.is_empty() {
             queue.sending.set(false);
             return;
         }
-        queue.batches.set(queue.batches.get() + 1);
+        queue.batches_sent.set(queue.batches_sent.get() + 1);
         let requests = batch.iter().map(|claim| claim.request.clone()).collect();
-        let reply = control.submit(&CatalogCommand::Claim(requests), CLAIM_LIMIT).await;
-        answer_batch(batch, reply);
+        let reply = control.submit(&CatalogCommand::Claim(requests), CLAIM_TIMEOUT).await;
+        reply_to_batch(batch, reply);
     }
 }
 
-fn answer_batch(batch: Vec<WaitingClaim>, reply: Result<CatalogReply, SubmitError>) {
+fn reply_to_batch(batch: Vec<WaitingClaim>, reply: Result<CatalogReply, SubmitError>) {
     match reply {
         Ok(CatalogReply::Claims(outcomes)) if outcomes.len() == batch.len() => {
             for (claim, outcome) in batch.into_iter().zip(outcomes) {
--- a/crates/entry/src/config_keeper.rs
+++ b/crates/entry/src/config_watch.rs
@@ -10,16 +10,16 @@
 use tokio::time::Instant;
 
 /// Pause after a watch that confirmed nothing.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How often the entry looks whether it is on the list.
-const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
+const ANNOUNCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How long an announcement may take.
-const ANNOUNCE_LIMIT: Duration = Duration::from_secs(3);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 pub(crate) async fn watch_config(shared: Weak<EntryShared>) {
     loop {
         let Some(shared) = shared.upgrade() else { return };
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let call = WatchCall {
             entry: shared.options.name.clone(),
             incarnation: shared.options.incarnation,
@@ -39,12 +39,12 @@
                 }
                 // From the time of sending, not of receiving: changes accepted while the reply
                 // was under way are not in it.
-                shared.lease_until.set(Some(sent + shared.options.lease));
+                shared.lease_until.set(Some(sent_at + shared.options.lease));
             }
-            Ok(WatchReply::Unconfirmed) => tokio::time::sleep(RETRY_PAUSE).await,
+            Ok(WatchReply::Unconfirmed) => tokio::time::sleep(WATCH_RETRY_DELAY).await,
             Err(error) => {
                 tracing::debug!(%error, "no control member confirmed the configuration");
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(WATCH_RETRY_DELAY).await;
             }
         }
     }
@@ -52,7 +52,7 @@
 
 /// Announces this run whenever the configuration does not show it, for example after control
 /// removed it for silence.
-pub(crate) async fn stay_announced(shared: Weak<EntryShared>) {
+pub(crate) async fn keep_announced(shared: Weak<EntryShared>) {
     loop {
         let Some(shared) = shared.upgrade() else { return };
         let record = own_record(&shared);
@@ -61,7 +61,7 @@
             announce(&shared, record).await;
         }
         drop(shared);
-        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
+        tokio::time::sleep(ANNOUNCE_CHECK_INTERVAL).await;
     }
 }
 
@@ -71,7 +71,7 @@
 
 async fn announce(shared: &EntryShared, record: EntryRecord) {
     let command = CatalogCommand::AnnounceEntry(record);
-    if let Err(error) = shared.submit(&command, ANNOUNCE_LIMIT).await {
+    if let Err(error) = shared.submit(&command, ANNOUNCE_TIMEOUT).await {
         tracing::warn!(%error, "this entry could not be announced");
     }
 }
--- a/crates/entry/src/guards.rs
+++ b/crates/entry/src/guards.rs
@@ -10,22 +10,22 @@
 pub(crate) struct AdmissionGuard {
     shared: Rc<EntryShared>,
     organisation: OrganisationName,
-    since: Duration,
+    admitted_at: Duration,
 }
 
 impl AdmissionGuard {
     pub(crate) fn new(shared: Rc<EntryShared>, organisation: &OrganisationName) -> Self {
-        let since = shared.now();
-        Self { shared, organisation: organisation.clone(), since }
+        let admitted_at = shared.now();
+        Self { shared, organisation: organisation.clone(), admitted_at }
     }
 }
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
         let now = self.shared.now();
-        let took = now.saturating_sub(self.since);
-        let admitted = self.shared.admission.borrow_mut().release(&self.organisation, took, now);
-        self.shared.wake(&admitted);
+        let elapsed = now.saturating_sub(self.admitted_at);
+        let admitted = self.shared.admission.borrow_mut().release(&self.organisation, elapsed, now);
+        self.shared.wake_admitted(&admitted);
     }
 }
 
@@ -49,8 +49,8 @@
 impl Drop for QueueGuard {
     fn drop(&mut self) {
         let Some(ticket) = self.ticket else { return };
-        let waited = self.shared.waiters.borrow_mut().shift_remove(&ticket).is_some();
-        if waited {
+        let was_waiting = self.shared.waiters.borrow_mut().shift_remove(&ticket).is_some();
+        if was_waiting {
             self.shared.admission.borrow_mut().cancel(ticket);
         }
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,6 +1,6 @@
 //! An entry: answers callers, routes their requests, and gives agents the configuration.
 //!
-//! Everything runs on one thread around [`EntryShared`]'s tables. `config_keeper` keeps the accepted
+//! Everything runs on one thread around [`EntryShared`]'s tables. `config_watch` keeps the accepted
 //! configuration under a lease; `peers` answers agents; `caller` takes requests in, `attempt` sends
 //! one to one agent, `forward` decides on retries, `stream` relays event streams and resumes broken
 //! ones, `claims` binds keys of requests that must not be repeated.
@@ -9,7 +9,7 @@
 mod attempt;
 mod caller;
 mod claims;
-mod config_keeper;
+mod config_watch;
 mod forward;
 mod guards;
 mod peers;
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -8,9 +8,9 @@
 use tarpc::context::Context;
 
 /// Longest wait for news that an agent may ask for.
-const MAX_WAIT: Duration = Duration::from_secs(10);
+const MAX_REPORT_WAIT: Duration = Duration::from_secs(10);
 /// How long an agent's command may take.
-const SUBMIT_LIMIT: Duration = Duration::from_millis(1_900);
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_900);
 
 /// Answers agents' calls.
 #[derive(Clone)]
@@ -26,7 +26,7 @@
     async fn wait_for_config(&self, held: Revision, wait: Duration) {
         let mut revision = self.shared.revision.subscribe();
         let newer = revision.wait_for(|revision| *revision > held);
-        tokio::time::timeout(wait.min(MAX_WAIT), newer).await.ok();
+        tokio::time::timeout(wait.min(MAX_REPORT_WAIT), newer).await.ok();
     }
 
     /// An entry keeps no list of changes, so an agent that is behind gets the whole view; what
@@ -59,17 +59,17 @@
         let lease = shared.lease_left();
         let group = call.report.group.clone();
         if shared.targets.borrow_mut().apply_report(call.report, shared.now()) {
-            shared.peers_number.set(shared.peers_number.get() + 1);
+            shared.peers_version.set(shared.peers_version.get() + 1);
         }
         shared.refresh_limits();
         self.wait_for_config(call.held, Duration::from_millis(call.wait_millis)).await;
-        let peers_number = shared.peers_number.get();
+        let peers_version = shared.peers_version.get();
         ReportReply {
             update: self.update_for(call.held),
             lease_millis: lease.as_millis() as u64,
             clock: shared.clock.get(),
-            peers_number,
-            peers: (peers_number != call.peers_seen).then(|| self.peers_of(&group)),
+            peers_number: peers_version,
+            peers: (peers_version != call.peers_seen).then(|| self.peers_of(&group)),
         }
     }
 
@@ -81,7 +81,7 @@
             tracing::warn!("an agent sent a command that is not an agent's");
             return SubmitReply::Busy;
         }
-        match self.shared.submit(&command, SUBMIT_LIMIT).await {
+        match self.shared.submit(&command, SUBMIT_TIMEOUT).await {
             Ok(reply) => SubmitReply::Applied(reply),
             Err(SubmitError::NotRun(_)) => SubmitReply::Busy,
             Err(SubmitError::Unknown(_)) => SubmitReply::Unknown,
--- a/crates/entry/src/runtime.rs
+++ b/crates/entry/src/runtime.rs
@@ -3,7 +3,7 @@
 use crate::{
     caller::CallerHandler,
     claims::ClaimBatcher,
-    config_keeper,
+    config_watch,
     peers::PeerHandler,
     shared::{EntryMetrics, EntryShared},
 };
@@ -25,7 +25,7 @@
 use tokio::{sync::watch, time::Instant};
 
 /// How often time-driven systems run.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Settings of an entry.
 #[derive(Clone, Debug)]
@@ -143,11 +143,11 @@
             targets: RefCell::new(TargetTable::new(options.routing, seed)),
             admission: RefCell::new(AdmissionTable::new(options.admission)),
             waiters: RefCell::default(),
-            budget: RefCell::new(RetryBudget::new()),
+            retry_budget: RefCell::new(RetryBudget::new()),
             prefixes: RefCell::new(PrefixIndex::new()),
-            peers_number: Cell::new(seed << 20),
+            peers_version: Cell::new(seed << 20),
             stopping: Cell::new(false),
-            next_request: Cell::new(0),
+            assigned_request_ids: Cell::new(0),
             options,
         });
         let peers = serve_entry(
@@ -158,8 +158,8 @@
         )?;
         let handler = Rc::new(CallerHandler::new(shared.clone()));
         let callers = spawn_server(listeners.caller, handler, ServerOptions::default())?;
-        actix_rt::spawn(config_keeper::watch_config(Rc::downgrade(&shared)));
-        actix_rt::spawn(config_keeper::stay_announced(Rc::downgrade(&shared)));
+        actix_rt::spawn(config_watch::watch_config(Rc::downgrade(&shared)));
+        actix_rt::spawn(config_watch::keep_announced(Rc::downgrade(&shared)));
         actix_rt::spawn(tick(Rc::downgrade(&shared)));
         Ok(Self { shared, callers, _peers: peers })
     }
@@ -179,7 +179,7 @@
     pub async fn stop(self, limit: Duration) -> bool {
         let deadline = Instant::now() + limit;
         self.shared.stopping.set(true);
-        config_keeper::announce_leaving(&self.shared).await;
+        config_watch::announce_leaving(&self.shared).await;
         let lifetime = self.shared.options.address_lifetime;
         let grace = lifetime.min(deadline.saturating_duration_since(Instant::now()));
         tokio::time::sleep(grace).await;
@@ -189,16 +189,16 @@
 
 async fn tick(shared: std::rc::Weak<EntryShared>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let now = shared.now();
         if shared.targets.borrow_mut().tick(now) {
-            shared.peers_number.set(shared.peers_number.get() + 1);
+            shared.peers_version.set(shared.peers_version.get() + 1);
         }
         shared.refresh_limits();
         shared.admission.borrow_mut().tick();
         let view = shared.view();
-        shared.budget.borrow_mut().retain(|name| view.organisations.contains_key(name));
+        shared.retry_budget.borrow_mut().retain(|name| view.organisations.contains_key(name));
         let counters = &shared.counters;
         counters.lease_millis.set(shared.lease_left().as_millis() as i64);
         counters.queued.set(shared.admission.borrow().queued() as i64);
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -81,12 +81,12 @@
     pub(crate) targets: RefCell<TargetTable>,
     pub(crate) admission: RefCell<AdmissionTable>,
     pub(crate) waiters: RefCell<IndexMap<QueueTicket, oneshot::Sender<()>>>,
-    pub(crate) budget: RefCell<RetryBudget>,
+    pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) prefixes: RefCell<PrefixIndex>,
     pub(crate) claims: ClaimBatcher,
-    pub(crate) peers_number: Cell<u64>,
+    pub(crate) peers_version: Cell<u64>,
     pub(crate) stopping: Cell<bool>,
-    pub(crate) next_request: Cell<u64>,
+    pub(crate) assigned_request_ids: Cell<u64>,
 }
 
 impl EntryShared {
@@ -122,7 +122,7 @@
     /// changed or retired. It shows as two entries that answer from different versions for as long
     /// as the cut lasts. Every confirmed watch covers all changes accepted before it was sent, so
     /// an entry that has had none for one lease may have missed one, and says `not-run`.
-    pub(crate) fn confirm_lease(&self, profile: &ProfileRecord) -> Result<(), FailureReport> {
+    pub(crate) fn check_lease(&self, profile: &ProfileRecord) -> Result<(), FailureReport> {
         if !self.lease_left().is_zero() {
             return Ok(());
         }
@@ -147,10 +147,10 @@
         admission.set_weights(weights.map(|(n, r)| (n.clone(), r.spec.weight)).collect());
         let admitted = admission.admit_waiting(self.now());
         drop(admission);
-        self.wake(&admitted);
+        self.wake_admitted(&admitted);
     }
 
-    pub(crate) fn wake(&self, admitted: &[QueueTicket]) {
+    pub(crate) fn wake_admitted(&self, admitted: &[QueueTicket]) {
         for ticket in admitted {
             if let Some(waiter) = self.waiters.borrow_mut().shift_remove(ticket) {
                 waiter.send(()).ok();
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     attempt::{self, AttemptReply},
-    caller::CallerCall,
+    caller::CallerRequest,
     forward,
     guards::AdmissionGuard,
     shared::EntryShared,
@@ -31,25 +31,25 @@
 /// Relays an answer as it comes.
 pub(crate) fn relay(
     shared: Rc<EntryShared>,
-    call: CallerCall,
+    request: CallerRequest,
     profile: ProfileRecord,
     reply: AttemptReply,
-    admitted: AdmissionGuard,
+    admission: AdmissionGuard,
 ) -> HttpReply {
     let status = reply.response.status();
-    let mut head = attempt::reply_head(&call, status, reply.response.headers());
-    let resumable = call.is_model && call.repeatable && status.is_success();
+    let mut head = attempt::reply_head(&request, status, reply.response.headers());
+    let resumable = request.is_model && request.retryable && status.is_success();
     let relay = StreamRelay {
         shared,
-        call,
+        request,
         profile,
         reply,
         buffer: BytesMut::new(),
         events: 0,
         tried: Vec::new(),
         resumable,
-        ended: false,
-        _admitted: admitted,
+        finished: false,
+        _admission: admission,
     };
     let body = BodyStream::new(Box::pin(futures::stream::unfold(relay, StreamRelay::next)));
     head.body(body).map_into_boxed_body()
@@ -57,7 +57,7 @@
 
 struct StreamRelay {
     shared: Rc<EntryShared>,
-    call: CallerCall,
+    request: CallerRequest,
     profile: ProfileRecord,
     reply: AttemptReply,
     /// Bytes of an event that is not complete yet.
@@ -66,29 +66,29 @@
     events: u64,
     tried: Vec<InstanceName>,
     resumable: bool,
-    ended: bool,
-    _admitted: AdmissionGuard,
+    finished: bool,
+    _admission: AdmissionGuard,
 }
 
 impl StreamRelay {
     /// The next bytes for the caller. An error makes the server close the connection without the
     /// last chunk, which is how the caller sees that the answer is not whole.
     async fn next(mut self) -> Option<(io::Result<Bytes>, Self)> {
-        if self.ended {
+        if self.finished {
             self.drain().await;
             return None;
         }
         loop {
-            let piece = tokio::time::timeout_at(self.call.deadline, self.reply.response.next());
+            let piece = tokio::time::timeout_at(self.request.deadline, self.reply.response.next());
             let failure = match piece.await {
                 Ok(Some(Ok(piece))) => {
-                    if let Some(bytes) = self.take_piece(&piece) {
+                    if let Some(bytes) = self.accept_piece(&piece) {
                         return Some((Ok(bytes), self));
                     }
                     continue;
                 }
-                Ok(None) if self.is_whole() => {
-                    self.finish();
+                Ok(None) if self.is_complete() => {
+                    self.record_completed();
                     return None;
                 }
                 Ok(None) => RefusalReason::BrokenAnswer,
@@ -97,9 +97,13 @@
             };
             self.reply.guard.set_outcome(RequestOutcome::Failed(failure));
             if failure == RefusalReason::DeadlineExceeded || !self.resume().await {
-                self.ended = true;
+                self.finished = true;
                 self.shared.counters.broken.inc();
-                tracing::info!(request = self.call.id, events = self.events, "an answer broke off");
+                tracing::info!(
+                    request = self.request.id,
+                    events = self.events,
+                    "an answer broke off"
+                );
                 let error = io::Error::new(io::ErrorKind::UnexpectedEof, "the answer broke off");
                 return Some((Err(error), self));
             }
@@ -109,14 +113,14 @@
     /// Reads the end of a stream whose last event has come, so that its connection can be used
     /// again; a target that does not end it soon costs the connection and no time.
     async fn drain(&mut self) {
-        const PATIENCE: Duration = Duration::from_millis(20);
+        const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
         let rest = async { while let Some(Ok(_)) = self.reply.response.next().await {} };
-        tokio::time::timeout(PATIENCE, rest).await.ok();
+        tokio::time::timeout(DRAIN_TIMEOUT, rest).await.ok();
     }
 
     /// Takes bytes in; returns what the caller can be given. Of a resumable stream only complete
     /// events are passed on, so that the place to go on from is always between two events.
-    fn take_piece(&mut self, piece: &Bytes) -> Option<Bytes> {
+    fn accept_piece(&mut self, piece: &Bytes) -> Option<Bytes> {
         if !self.resumable {
             return Some(piece.clone());
         }
@@ -125,25 +129,25 @@
         let complete = self.buffer.split_to(end).freeze();
         for event in split_events(&complete) {
             if event.starts_with(DONE_EVENT) {
-                self.ended = true;
+                self.finished = true;
             } else {
                 self.events += 1;
             }
         }
-        if self.ended {
-            self.finish();
+        if self.finished {
+            self.record_completed();
         }
         Some(complete)
     }
 
     /// Whether a body that ended without an error is whole. A stream of events is whole only with
     /// its last event; other bodies were checked by their length or their last chunk.
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         !self.resumable
     }
 
-    fn finish(&mut self) {
-        self.ended = true;
+    fn record_completed(&mut self) {
+        self.finished = true;
         let outcome = RequestOutcome::Answered(self.reply.first_byte);
         self.reply.guard.set_outcome(outcome);
         self.shared.counters.answered.inc();
@@ -159,16 +163,16 @@
         }
         let manifest = self.reply.choice.manifest;
         self.tried.push(self.reply.choice.target.clone());
-        while self.tried.len() <= MAX_RESUMES && Instant::now() < self.call.deadline {
-            if !self.shared.budget.borrow_mut().spend(&self.call.organisation) {
+        while self.tried.len() <= MAX_RESUMES && Instant::now() < self.request.deadline {
+            if !self.shared.retry_budget.borrow_mut().spend(&self.request.organisation) {
                 return false;
             }
             let chosen =
-                forward::choose(&self.shared, &self.call, &self.profile, &self.tried, manifest);
+                forward::choose(&self.shared, &self.request, &self.profile, &self.tried, manifest);
             let Ok(choice) = chosen else { return false };
             let target = choice.target.clone();
             self.shared.metrics.count_retry(RefusalReason::BrokenAnswer);
-            let sent = attempt::send(&self.shared, &self.call, choice, Some(self.events)).await;
+            let sent = attempt::send(&self.shared, &self.request, choice, Some(self.events)).await;
             match sent {
                 Ok(reply) if reply.response.status().is_success() => {
                     self.reply = reply;
@@ -179,7 +183,7 @@
                 Ok(reply) => self.tried.push(reply.choice.target.clone()),
                 Err(failure) => {
                     if failure.report.reason == RefusalReason::ConnectFailed {
-                        self.shared.budget.borrow_mut().refund(&self.call.organisation);
+                        self.shared.retry_budget.borrow_mut().refund(&self.request.organisation);
                     }
                     self.tried.push(target);
                 }
