--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -1,31 +1,32 @@
-//! `GET /v1/addresses`: which of our addresses a caller should use.
+//! `GET /v1/addresses`: the entry addresses that a caller should use.
 
 use crate::shared::EntryShared;
 use egretseam_catalog::EntryRecord;
 use egretseam_proto::{OrganisationName, ZoneName};
 use serde::Serialize;
 
-/// Most addresses in one answer; a caller needs a few, not hundreds.
+/// Maximum number of addresses in one response; a caller needs a few, not hundreds.
 const MAX_ADDRESSES: usize = 6;
 
-/// One address.
+/// Address of one entry.
 #[derive(Debug, Serialize)]
 pub(crate) struct AddressItem {
     address: String,
     zone: ZoneName,
 }
 
-/// The answer.
+/// Body of the response.
 #[derive(Debug, Serialize)]
 pub(crate) struct AddressList {
-    /// In the order in which to try them.
+    /// In the order in which the caller should try them.
     addresses: Vec<AddressItem>,
-    /// How long the list may be kept.
+    /// How long the caller may cache the list.
     lifetime_seconds: u64,
 }
 
-/// Addresses for one caller: those of the zone it names first, otherwise those of this entry's
-/// zone; within a zone in an order that differs from caller to caller, so that callers spread.
+/// Lists addresses for one caller. Entries of `zone`, or of this entry's zone if the caller names
+/// none, come first; `salt` differs between callers and varies the order within these and within
+/// the others, so that callers spread over the entries.
 pub(crate) fn list_for(
     shared: &EntryShared,
     organisation: &OrganisationName,
@@ -50,10 +51,10 @@
 }
 
 fn entry_rank(organisation: &str, entry: &str, salt: u64) -> u64 {
-    const PRIME: u64 = 0x0000_0100_0000_01b3;
+    const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
     let bytes = organisation.bytes().chain(entry.bytes());
     let hash = bytes.fold(salt ^ 0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     });
     hash ^ hash >> 29
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of one request to one agent.
+//! One attempt: a request sent once to the agent of one target.
 
 use crate::{caller::CallerRequest, guards::TargetGuard, shared::EntryShared};
 use actix_http::{Response, StatusCode, header::HeaderMap};
@@ -15,10 +15,11 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// Largest answer held whole, so that a broken one can be replaced before the caller sees it.
+/// Largest response body that is buffered. While a response is buffered, the caller has received
+/// nothing of it, so the request can be retried if the response breaks off.
 const MAX_BUFFERED_BYTES: usize = 16 * 1024 * 1024;
 
-/// The head of an answer, its body still to be read.
+/// A response whose head has been received and whose body has not been read.
 pub(crate) struct AttemptReply {
     pub(crate) response: ClientResponse,
     pub(crate) choice: TargetChoice,
@@ -26,10 +27,10 @@
     pub(crate) first_byte: Duration,
 }
 
-/// A failed send.
+/// A failed attempt.
 pub(crate) struct AttemptFailure {
     pub(crate) report: FailureReport,
-    /// Whether the agent certified that it will never run the key.
+    /// Whether the agent rejected the idempotency key and will never run a request with it.
     pub(crate) key_rejected: bool,
 }
 
@@ -39,7 +40,8 @@
     }
 }
 
-/// Sends `request` to `choice` and waits for the head of the answer.
+/// Sends `request` to `choice` and waits for the head of the response. With `resume_at`, the target
+/// is asked to leave out that many events at the start of the stream.
 pub(crate) async fn send(
     shared: &Rc<EntryShared>,
     request: &CallerRequest,
@@ -61,7 +63,7 @@
                 request = request.id,
                 target = %choice.target,
                 failure = %failure.report,
-                "a send failed"
+                "attempt at target failed"
             );
             Err(failure)
         }
@@ -111,8 +113,8 @@
     }
 }
 
-/// Reads an answer's whole body. A body that breaks off, or that does not end in time, is a
-/// failure after the send.
+/// Reads the whole body of a response. If the body breaks off, exceeds [`MAX_BUFFERED_BYTES`] or
+/// does not end by the deadline, the request may have run.
 pub(crate) async fn buffer_body(
     request: &CallerRequest,
     reply: &mut AttemptReply,
@@ -143,7 +145,7 @@
     result
 }
 
-/// Starts the caller's answer from the target's.
+/// Builds the head of the response to the caller from that of the target.
 pub(crate) fn reply_head(
     request: &CallerRequest,
     status: StatusCode,
@@ -160,7 +162,7 @@
     builder
 }
 
-/// A whole answer for the caller.
+/// Builds the response to the caller from a buffered one.
 pub(crate) fn buffered_reply(
     request: &CallerRequest,
     reply: &AttemptReply,
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests in: who asks, for what, by when, and whether it may be repeated.
+//! Serves callers: authenticates and parses their requests, and passes them on to be forwarded.
 
 use crate::{addresses, forward, shared::EntryShared};
 use actix_http::{HttpMessage, Method, Request, StatusCode, header::HeaderMap};
@@ -17,33 +17,34 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// Longest deadline that a caller may name.
+/// Longest time until its deadline that a caller may ask for; a longer one is cut to this.
 const MAX_TIME_LIMIT: Duration = Duration::from_secs(3_600);
-/// Longest request id taken over from a caller.
+/// Longest request id that is accepted from a caller.
 const MAX_REQUEST_ID_BYTES: usize = 64;
 
-/// One request, read and checked.
+/// One authenticated request with its body.
 pub(crate) struct CallerRequest {
     pub(crate) id: String,
     pub(crate) organisation: OrganisationName,
     pub(crate) service: ServiceName,
     pub(crate) method: Method,
-    /// Path and query at the target.
+    /// Path and query to send to the target.
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) deadline: Instant,
     pub(crate) key: Option<RequestKey>,
-    /// Whether running it twice does no harm.
+    /// Whether it may be retried after an attempt that may have run it. Never true of a request
+    /// with an idempotency key: those are retried only at the incarnation that the key is bound to.
     pub(crate) retryable: bool,
-    /// Whether a model engine answers it.
+    /// Whether it goes to a model engine.
     pub(crate) is_model: bool,
     pub(crate) prefix: PrefixKey,
     pub(crate) arrived: Instant,
 }
 
 impl CallerRequest {
-    /// Digest that tells one request from another under the same key.
+    /// Digest that distinguishes different requests with the same idempotency key.
     pub(crate) fn digest(&self) -> ChunkDigest {
         let head = format!("{} {} {}\n", self.method, self.service, self.path);
         let mut bytes = head.into_bytes();
@@ -52,7 +53,7 @@
     }
 }
 
-/// The part of a model request that routing reads; the rest passes through.
+/// The fields of a model request that routing uses; the body is forwarded unchanged.
 #[derive(Deserialize)]
 struct ModelRequest {
     model: String,
@@ -82,7 +83,7 @@
     data: Vec<ModelItem>,
 }
 
-/// Answers callers.
+/// Serves the HTTP requests of callers.
 pub(crate) struct CallerHandler {
     shared: Rc<EntryShared>,
 }
@@ -130,8 +131,8 @@
         text_reply(StatusCode::OK, "ready\n")
     }
 
-    /// Finds the organisation by its key's digest. Digests of random keys are looked up, never
-    /// keys compared, so the time it takes says nothing about any key.
+    /// Finds the organisation of an API key. Compares digests of the randomly generated keys,
+    /// never the keys themselves, so the time it takes reveals nothing about any key.
     fn authenticate(&self, headers: &HeaderMap) -> Result<OrganisationName, FailureReport> {
         let unauthorized =
             || FailureReport::not_run(RefusalReason::Unauthorized, "no valid API key");
@@ -181,7 +182,7 @@
             .map_err(|error| bad_request(format!("model: {error}")))?;
         request.prefix = PrefixKey::of(&prompt_text(&parsed));
         request.is_model = true;
-        // Generating text changes nothing, so without a key it may be done again.
+        // Generating text has no side effects, so it is retryable unless the caller gave a key.
         request.retryable = request.key.is_none();
         Ok(request)
     }
@@ -199,8 +200,8 @@
         let mut request =
             self.read_request(http_request, organisation, format!("/{path}{query}")).await?;
         request.service = service;
-        // Only methods that by definition change nothing; a PUT or DELETE that is idempotent at
-        // one service may not be at another.
+        // Only the safe methods of HTTP: services differ in whether their PUT and DELETE are
+        // idempotent.
         request.retryable = matches!(request.method, Method::GET | Method::HEAD | Method::OPTIONS)
             && request.key.is_none();
         Ok(request)
@@ -250,7 +251,8 @@
         Ok(Duration::from_millis(millis).min(MAX_TIME_LIMIT))
     }
 
-    /// The caller's id for the request if it is a plain one, else one of ours.
+    /// Returns the request id that the caller gave if it is short printable ASCII, otherwise a new
+    /// one.
     fn request_id(&self, headers: &HeaderMap) -> String {
         let is_valid = |id: &&str| {
             !id.is_empty()
@@ -266,7 +268,8 @@
     }
 }
 
-/// The text that an engine computes first: equal beginnings can share its cache.
+/// Text of the prompt, for prefix routing: prompts with a common prefix can share an engine's
+/// cache.
 fn prompt_text(request: &ModelRequest) -> Vec<u8> {
     let mut text = Vec::new();
     if let Some(prompt) = &request.prompt {
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,4 +1,5 @@
-//! Claims of keys, batched: while one command is under way, further claims wait and share the next.
+//! Claims idempotency keys in batches: while one command is in flight, further claims are queued
+//! and sent together in the next.
 
 use egretseam_catalog::{CatalogCommand, CatalogReply, ClaimOutcome, ClaimRequest, RebindRequest};
 use egretseam_proto::{FailureReport, RefusalReason};
@@ -10,9 +11,8 @@
 };
 use tokio::sync::oneshot;
 
-/// How long a claim may take.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
-/// Most claims in one command.
+/// Maximum number of claims in one command.
 const MAX_CLAIMS_PER_BATCH: usize = 256;
 
 type ClaimReply = Result<ClaimOutcome, FailureReport>;
@@ -29,7 +29,7 @@
     batches_sent: Cell<u64>,
 }
 
-/// Claims of one entry.
+/// Sends the claims of one entry to control.
 pub(crate) struct ClaimBatcher {
     control: Rc<ControlClient>,
     queue: Rc<BatchQueue>,
@@ -40,17 +40,17 @@
         Self { control, queue: Rc::default() }
     }
 
-    /// Commands sent so far.
+    /// Number of commands sent so far.
     pub(crate) fn batches_sent(&self) -> u64 {
         self.queue.batches_sent.get()
     }
 
-    /// Binds a key, or finds what it is bound to.
+    /// Binds a key to an incarnation, or finds the incarnation that it is bound to.
     ///
     /// # Errors
-    /// Fails with `not-run` in every case: the request is sent only after a claim has succeeded.
-    /// That holds although the claim itself may have been committed, because nothing but the
-    /// request itself has an effect, and a resend finds the claim and goes on from it.
+    /// Every failure has the verdict `not-run`, because a request is sent only after its claim
+    /// succeeded. This is also correct if the claim was committed: a claim alone has no effect, and
+    /// a retry finds it and continues with the incarnation it names.
     pub(crate) async fn claim(&self, request: ClaimRequest) -> ClaimReply {
         let (reply, outcome) = oneshot::channel();
         self.queue.waiting.borrow_mut().push(WaitingClaim { request, reply });
@@ -60,7 +60,8 @@
         outcome.await.unwrap_or_else(|_| Err(not_claimed("the entry is stopping")))
     }
 
-    /// Moves a claim away from an agent run that refused the key for good.
+    /// Moves a claim to another incarnation, given a proof that the current one has not run the
+    /// request and never will.
     ///
     /// # Errors
     /// As [`ClaimBatcher::claim`].
--- a/crates/entry/src/config_watch.rs
+++ b/crates/entry/src/config_watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the configuration current and confirmed, and this entry on the list of addresses.
+//! Watches the configuration, which renews its lease, and keeps this entry announced in it.
 
 use crate::shared::EntryShared;
 use egretseam_catalog::{CatalogCommand, EntryRecord};
@@ -9,11 +9,10 @@
 };
 use tokio::time::Instant;
 
-/// Pause after a watch that confirmed nothing.
+/// Delay after a watch call that failed or did not confirm the configuration.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How often the entry looks whether it is on the list.
+/// How often the entry checks that the configuration lists it.
 const ANNOUNCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long an announcement may take.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 pub(crate) async fn watch_config(shared: Weak<EntryShared>) {
@@ -37,21 +36,21 @@
                     shared.revision.send_replace(revision);
                     shared.refresh_limits();
                 }
-                // From the time of sending, not of receiving: changes accepted while the reply
-                // was under way are not in it.
+                // The lease starts when the call was sent, not when the reply arrived: the reply
+                // lacks changes committed while it was in flight.
                 shared.lease_until.set(Some(sent_at + shared.options.lease));
             }
             Ok(WatchReply::Unconfirmed) => tokio::time::sleep(WATCH_RETRY_DELAY).await,
             Err(error) => {
-                tracing::debug!(%error, "no control member confirmed the configuration");
+                tracing::debug!(%error, "watch call to control failed; lease not renewed");
                 tokio::time::sleep(WATCH_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Announces this run whenever the configuration does not show it, for example after control
-/// removed it for silence.
+/// Announces this entry whenever the configuration lacks its current record, for example after
+/// control removed an entry that it had not heard from.
 pub(crate) async fn keep_announced(shared: Weak<EntryShared>) {
     loop {
         let Some(shared) = shared.upgrade() else { return };
@@ -72,7 +71,7 @@
 async fn announce(shared: &EntryShared, record: EntryRecord) {
     let command = CatalogCommand::AnnounceEntry(record);
     if let Err(error) = shared.submit(&command, ANNOUNCE_TIMEOUT).await {
-        tracing::warn!(%error, "this entry could not be announced");
+        tracing::warn!(%error, "announcing this entry to control failed");
     }
 }
 
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -1,4 +1,4 @@
-//! From a read request to an answer: admission, choice, claims, retries.
+//! Forwards a request: admission, choice of targets, key claims and retries.
 
 use crate::{
     attempt::{self, AttemptFailure, AttemptReply},
@@ -18,16 +18,16 @@
 use std::{rc::Rc, time::Duration};
 use tokio::{sync::oneshot, time::Instant};
 
-/// Most sends of one request.
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: usize = 8;
-/// Tries at further targets, after full gates, that cost no budget.
+/// Maximum number of retries after an overloaded gate that are not taken from the retry budget.
 const MAX_FREE_RETRIES: usize = 2;
-/// How often a request that is admitted looks for a target with room.
+/// Interval at which an admitted request looks for a target below its limit.
 const TARGET_POLL_INTERVAL: Duration = Duration::from_millis(4);
-/// Pause before a further send to the run that a key is bound to.
+/// Delay before a retry at the incarnation that a key is bound to.
 const BOUND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers one request.
+/// Forwards one request to a target and returns the response for the caller.
 pub(crate) async fn forward(
     shared: &Rc<EntryShared>,
     request: CallerRequest,
@@ -58,11 +58,11 @@
     })
 }
 
-/// What a request came to.
+/// Response to a forwarded request.
 pub(crate) enum ForwardReply {
-    /// An answer held whole.
+    /// The complete response, held in memory.
     Buffered(HttpReply),
-    /// An answer that is relayed as it comes.
+    /// The head of a response whose body is relayed as it arrives.
     Streamed(Box<AttemptReply>),
 }
 
@@ -117,8 +117,8 @@
     Ok(choice)
 }
 
-/// Chooses a target, waiting a little for one with room: the request is admitted, so its part of
-/// the capacity is free or about to be.
+/// Chooses a target. If all are at their limit, waits up to the longest admission wait for one to
+/// fall below it: the request is admitted, so capacity for it is free or soon will be.
 async fn choose_or_wait(
     shared: &EntryShared,
     request: &CallerRequest,
@@ -150,7 +150,8 @@
     for _ in 0..MAX_ATTEMPTS {
         let choice = match choose_or_wait(shared, request, profile, &tried).await {
             Ok(choice) => choice,
-            // Having tried all there are, the first failure says more than "none left".
+            // Once all targets have been tried, the failure of the last attempt says more than
+            // that no target is left.
             Err(report) => return Err(last_failure.unwrap_or(report)),
         };
         tried.push(choice.target.clone());
@@ -165,9 +166,10 @@
         let is_gate_rejection = failure.reason == RefusalReason::Overloaded
             && failure.verdict == RequestVerdict::NotRun;
         gate_rejections += usize::from(is_gate_rejection);
-        // A gate that was full for a moment costs next to nothing and shows no failure, so a few
-        // further tries are free; a budget would refuse admitted requests of whoever came last.
-        // So is a refused connection, which reached nobody.
+        // Retries after a gate that was briefly at its limit are free up to a maximum: its
+        // rejection costs almost nothing and is no sign of a fault, and a budget would fail the
+        // admitted requests that arrived last. Retries after a failed connection are free because
+        // it reached no target.
         let is_unreachable = failure.reason == RefusalReason::ConnectFailed
             && failure.verdict == RequestVerdict::NotRun;
         let is_free = (is_unreachable || is_gate_rejection && gate_rejections <= MAX_FREE_RETRIES)
@@ -183,7 +185,8 @@
     }))
 }
 
-/// A request that may have run once may have run, whatever happened to its later sends.
+/// Sets the verdict of `failure` to `may-have-run` if an earlier attempt may have run the request,
+/// however the later ones failed.
 fn merge_verdicts(
     last_failure: Option<&FailureReport>,
     mut failure: FailureReport,
@@ -194,15 +197,15 @@
     failure
 }
 
-/// Whether a failed request is sent again: only one that certainly has not run or may be
-/// repeated, in time, and within the organisation's budget.
+/// Whether a failed request is retried: it certainly has not run or is retryable, its deadline has
+/// not passed, and the organisation's retry budget, from which this takes one retry, is not empty.
 fn may_retry(shared: &EntryShared, request: &CallerRequest, failure: &FailureReport) -> bool {
     let retry_safe = failure.verdict == RequestVerdict::NotRun || request.retryable;
     let in_time = Instant::now() < request.deadline;
     retry_safe && in_time && shared.retry_budget.borrow_mut().spend(&request.organisation)
 }
 
-/// Holds an answer whole, or leaves it open to be relayed.
+/// Buffers the response, or leaves its body to be relayed.
 async fn buffer_or_stream(
     request: &CallerRequest,
     mut reply: AttemptReply,
@@ -214,7 +217,7 @@
     Ok(ForwardReply::Buffered(attempt::buffered_reply(request, &reply, body)))
 }
 
-/// Event streams, and bodies too large to hold.
+/// Whether a response is relayed rather than buffered: event streams and large bodies are.
 fn must_stream(reply: &AttemptReply) -> bool {
     const MAX_BUFFERED_LENGTH: u64 = 4 * 1024 * 1024;
     let headers = reply.response.headers();
@@ -224,12 +227,14 @@
     is_event_stream || length.is_some_and(|length| length > MAX_BUFFERED_LENGTH)
 }
 
-/// Sends a request that must not be repeated.
+/// Forwards a request with an idempotency key, which must run at most once.
 ///
-/// Failure guarded: two sends of one key, through two entries or after an entry died, that both
-/// run. It shows as a household billed twice. The key is bound in the log to one agent run before
-/// anything is sent, and every send goes to that run, which runs it once. A claim moves on only
-/// when that run has certified that it will never run the key.
+/// Prevents two attempts with one key, through two entries or after an entry died, from both
+/// running, so that for example a household is billed twice. Before anything is sent, the key is
+/// bound in the replicated log to one incarnation of an agent. Every attempt goes to that
+/// incarnation, which runs the key at most once. The claim moves to another incarnation only on
+/// proof that this one has not run the key and never will: it rejected the key for good, or no
+/// attempt there can have run it.
 async fn forward_keyed(
     shared: &Rc<EntryShared>,
     request: &CallerRequest,
@@ -249,8 +254,11 @@
         .counters
         .claim_batches
         .inc_by(shared.claims.batches_sent().saturating_sub(shared.counters.claim_batches.get()));
-    // Whether nobody but this request can have been sent to the run that the key is bound to.
-    let mut only_sender = outcome == ClaimOutcome::Bound;
+    // Whether the request has certainly not run at the incarnation that the key is bound to, as far
+    // as this entry knows: this request made the claim, so no other had been sent there before, and
+    // none of its own attempts may have run it. Control rejects the proof if the key has been
+    // claimed again since.
+    let mut known_not_run = outcome == ClaimOutcome::Bound;
     choice = bound_choice(shared, choice, outcome)?;
     let mut tried = Vec::new();
     let mut last_failure: Option<FailureReport> = None;
@@ -260,14 +268,14 @@
             Ok(reply) => return Ok(reply),
             Err(failure) => failure,
         };
-        only_sender &= failure.report.verdict == RequestVerdict::NotRun;
+        known_not_run &= failure.report.verdict == RequestVerdict::NotRun;
         let reason = failure.report.reason;
-        if failure.report.reason == RefusalReason::OtherIncarnation && !only_sender {
+        if failure.report.reason == RefusalReason::OtherIncarnation && !known_not_run {
             return Err(outcome_unknown("the agent that held the key has restarted"));
         }
         let proof = match failure.key_rejected {
             true => Some(RebindProof::RefusedByRun),
-            false if only_sender => Some(RebindProof::NeverSent),
+            false if known_not_run => Some(RebindProof::NeverSent),
             false => None,
         };
         let next = choose(shared, request, profile, &tried, None);
@@ -277,12 +285,13 @@
                 last_failure = Some(failure.report);
             }
             (Some(RebindProof::RefusedByRun), Err(_)) => {
-                // Certified, so this is the truth about the key and not only about this send.
+                // The rejection is final, so the verdict holds for the key and not only for this
+                // attempt.
                 return Err(failure.report);
             }
             _ => {
-                // The run that the key is bound to runs it at most once: asking it again is safe,
-                // asking another is not.
+                // The incarnation that the key is bound to runs it at most once, so a retry there
+                // is safe; a retry at another one is not.
                 let verdict = RequestVerdict::MayHaveRun;
                 last_failure = Some(FailureReport { verdict, ..failure.report });
                 tokio::time::sleep(BOUND_RETRY_DELAY).await;
@@ -295,7 +304,7 @@
         }
         shared.metrics.count_retry(reason);
     }
-    // The claim now points at a run that has not answered, so what became of the key is open.
+    // The key is bound to an incarnation that has not answered, so its outcome is unknown.
     Err(last_failure.map_or_else(
         || outcome_unknown("no target answered"),
         |last_failure| FailureReport { verdict: RequestVerdict::MayHaveRun, ..last_failure },
@@ -308,7 +317,7 @@
     choice: TargetChoice,
 ) -> Result<ForwardReply, AttemptFailure> {
     let mut reply = attempt::send(shared, request, choice, None).await?;
-    // Always held whole: a broken answer can then be asked for again where it is kept.
+    // Always buffered: if the response breaks off, a retry can fetch the copy that the agent keeps.
     let body = attempt::buffer_body(request, &mut reply)
         .await
         .map_err(AttemptFailure::key_not_rejected)?;
@@ -334,7 +343,7 @@
     bound_choice(shared, to, outcome)
 }
 
-/// Where a claimed request must go.
+/// Returns the incarnation to which a request must go after a claim or a rebinding.
 fn bound_choice(
     shared: &EntryShared,
     requested: TargetChoice,
@@ -354,7 +363,8 @@
                 address: address.to_owned(),
                 incarnation: bound.incarnation,
                 target: bound.target,
-                // The kept answer counts, whatever the target serves by now.
+                // The response that the agent keeps is valid whichever version the target serves
+                // now.
                 manifest: None,
                 cross_zone: false,
             })
--- a/crates/entry/src/guards.rs
+++ b/crates/entry/src/guards.rs
@@ -1,12 +1,12 @@
-//! Guards that give back what a request holds, however it ends: also when its caller goes away and
-//! the future that carried it is dropped.
+//! Guards that release what a request holds when they are dropped. This covers every way in which
+//! the request ends, also that its caller disconnects and its future is dropped.
 
 use crate::shared::EntryShared;
 use egretseam_proto::{InstanceName, OrganisationName};
 use egretseam_routing::{QueueTicket, RequestOutcome};
 use std::{rc::Rc, time::Duration};
 
-/// A place in progress.
+/// Capacity that an admitted request holds.
 pub(crate) struct AdmissionGuard {
     shared: Rc<EntryShared>,
     organisation: OrganisationName,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A place in the queue.
+/// Position of a waiting request in the admission queue.
 pub(crate) struct QueueGuard {
     shared: Rc<EntryShared>,
     ticket: Option<QueueTicket>,
@@ -40,7 +40,7 @@
         Self { shared, ticket: Some(ticket) }
     }
 
-    /// The ticket was admitted and no longer waits.
+    /// Drops the guard without leaving the queue; called when the ticket has been admitted.
     pub(crate) fn disarm(mut self) {
         self.ticket = None;
     }
@@ -69,7 +69,8 @@
         Self { shared, target: target.clone(), outcome: RequestOutcome::Cancelled }
     }
 
-    /// Sets how the request ended, for when the guard is dropped.
+    /// Sets the outcome that is recorded when the guard is dropped; without a call it is
+    /// [`RequestOutcome::Cancelled`].
     pub(crate) fn set_outcome(&mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,10 @@
-//! An entry: answers callers, routes their requests, and gives agents the configuration.
+//! An entry: serves callers, routes their requests to targets, and sends agents the configuration.
 //!
-//! Everything runs on one thread around [`EntryShared`]'s tables. `config_watch` keeps the accepted
-//! configuration under a lease; `peers` answers agents; `caller` takes requests in, `attempt` sends
-//! one to one agent, `forward` decides on retries, `stream` relays event streams and resumes broken
-//! ones, `claims` binds keys of requests that must not be repeated.
+//! Everything runs on one thread around the state in [`EntryShared`]. `config_watch` keeps the
+//! committed configuration up to date under a lease; `peers` serves the calls of agents; `caller`
+//! parses callers' requests, `attempt` sends one to one agent, `forward` decides on retries,
+//! `stream` relays event streams and resumes interrupted ones, and `claims` claims idempotency
+//! keys.
 
 mod addresses;
 mod attempt;
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,5 @@
-//! Answers agents: takes their reports in, gives configuration, lease and swarm.
+//! Serves the calls of agents: applies their reports and returns the configuration, its lease and
+//! the swarm membership.
 
 use crate::shared::EntryShared;
 use egretseam_catalog::{CatalogCommand, ConfigUpdate};
@@ -7,12 +8,12 @@
 use std::{rc::Rc, time::Duration};
 use tarpc::context::Context;
 
-/// Longest wait for news that an agent may ask for.
+/// Longest wait for a new configuration that an agent may ask for.
 const MAX_REPORT_WAIT: Duration = Duration::from_secs(10);
-/// How long an agent's command may take.
+/// Timeout of a command that is forwarded to control for an agent.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_900);
 
-/// Answers agents' calls.
+/// Serves the RPC calls of agents.
 #[derive(Clone)]
 pub(crate) struct PeerHandler {
     shared: Rc<EntryShared>,
@@ -29,8 +30,9 @@
         tokio::time::timeout(wait.min(MAX_REPORT_WAIT), newer).await.ok();
     }
 
-    /// An entry keeps no list of changes, so an agent that is behind gets the whole view; what
-    /// does not concern agents is left out.
+    /// Returns the update for an agent that holds revision `held`. An entry keeps no list of
+    /// changes, so an outdated agent gets the full configuration, without the organisations, which
+    /// agents do not use.
     fn update_for(&self, held: Revision) -> ConfigUpdate {
         let view = self.shared.view();
         if held >= view.revision {
@@ -74,11 +76,11 @@
     }
 
     async fn submit(self, _: Context, command: CatalogCommand) -> SubmitReply {
-        // Agents may only ask for orders; edits come from operators, claims from entries.
+        // Agents may only begin and end a switch; edits come from operators, claims from entries.
         let allowed =
             matches!(command, CatalogCommand::BeginSwitch(_) | CatalogCommand::EndSwitch { .. });
         if !allowed {
-            tracing::warn!("an agent sent a command that is not an agent's");
+            tracing::warn!("rejected an agent's command: agents may only begin or end a switch");
             return SubmitReply::Busy;
         }
         match self.shared.submit(&command, SUBMIT_TIMEOUT).await {
--- a/crates/entry/src/runtime.rs
+++ b/crates/entry/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an entry.
+//! Options, start and stop of an entry.
 
 use crate::{
     caller::CallerHandler,
@@ -24,44 +24,44 @@
 };
 use tokio::{sync::watch, time::Instant};
 
-/// How often time-driven systems run.
+/// Interval at which time-dependent state and gauges are updated.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryOptions {
-    /// Instance name.
+    /// Name of the instance that it runs on.
     pub name: InstanceName,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// This run.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Shared secret of our processes.
+    /// Secret shared by all processes of the installation.
     pub secret: PeerSecret,
     /// `host:port` of the control members.
     pub control_members: Vec<String>,
-    /// `host:port` that callers are told.
+    /// `host:port` announced to callers; if empty, that of the listener.
     pub caller_address: String,
-    /// `host:port` that agents are told.
+    /// `host:port` announced to agents; if empty, that of the listener.
     pub peer_address: String,
-    /// How long a confirmed configuration is used.
+    /// How long a configuration may be used after the call that confirmed it was sent.
     pub lease: Duration,
     /// Longest wait of one watch call for a change; a fraction of the lease.
     pub max_watch_wait: Duration,
-    /// How long callers may keep the list of addresses.
+    /// How long callers may cache the list of addresses.
     pub address_lifetime: Duration,
-    /// Deadline of a request that names none.
+    /// Time until the deadline of a request that states none.
     pub default_deadline: Duration,
     /// Largest request body in bytes.
     pub max_body_bytes: usize,
-    /// Limits of routing.
+    /// Settings of routing.
     pub routing: RoutingOptions,
-    /// Limits of admission.
+    /// Settings of admission.
     pub admission: AdmissionOptions,
 }
 
 impl EntryOptions {
-    /// Options with the usual limits.
+    /// Options with the default limits.
     pub fn new(
         name: InstanceName,
         zone: ZoneName,
@@ -164,20 +164,21 @@
         Ok(Self { shared, callers, _peers: peers })
     }
 
-    /// The tables, for status pages.
+    /// The shared state, for status pages.
     pub fn shared(&self) -> &Rc<EntryShared> {
         &self.shared
     }
 
-    /// Where callers connect.
+    /// Address of the listener for callers.
     pub fn caller_address(&self) -> std::net::SocketAddr {
         self.callers.address()
     }
 
-    /// Stops without cutting anything off: leaves the addresses that callers are given, serves on
-    /// until every answer that still named it has expired, finishes what is in progress.
-    pub async fn stop(self, limit: Duration) -> bool {
-        let deadline = Instant::now() + limit;
+    /// Stops gracefully: withdraws from the list of addresses, serves until every cached list that
+    /// names this entry has expired, then drains the requests in progress. Returns whether
+    /// all connections ended within `drain_timeout`.
+    pub async fn stop(self, drain_timeout: Duration) -> bool {
+        let deadline = Instant::now() + drain_timeout;
         self.shared.stopping.set(true);
         config_watch::announce_leaving(&self.shared).await;
         let lifetime = self.shared.options.address_lifetime;
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! The tables of one entry, shared by its tasks on one thread.
+//! State of one entry, shared by its tasks on one thread.
 
 use crate::{claims::ClaimBatcher, runtime::EntryOptions};
 use awc::Client;
@@ -21,7 +21,7 @@
     time::Instant,
 };
 
-/// Counters of an entry beside refusals and retries.
+/// Metrics of an entry other than those of rejected requests and retries.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryMetrics {
     pub(crate) requests: IntCounter,
@@ -66,7 +66,7 @@
     }
 }
 
-/// The tables of one entry.
+/// State of one entry, shared by its tasks.
 pub struct EntryShared {
     pub(crate) options: EntryOptions,
     pub(crate) client: Client,
@@ -77,6 +77,7 @@
     pub(crate) view: RefCell<Rc<ConfigView>>,
     pub(crate) revision: watch::Sender<Revision>,
     pub(crate) lease_until: Cell<Option<Instant>>,
+    /// Latest log time received from control.
     pub(crate) clock: Cell<LogTime>,
     pub(crate) targets: RefCell<TargetTable>,
     pub(crate) admission: RefCell<AdmissionTable>,
@@ -84,28 +85,29 @@
     pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) prefixes: RefCell<PrefixIndex>,
     pub(crate) claims: ClaimBatcher,
+    /// Incremented whenever the swarm membership changes.
     pub(crate) peers_version: Cell<u64>,
     pub(crate) stopping: Cell<bool>,
     pub(crate) assigned_request_ids: Cell<u64>,
 }
 
 impl EntryShared {
-    /// Time since this entry started, as the tables measure it.
+    /// Time since this entry started: the clock of the routing and admission tables.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The configuration held; possibly outdated if the lease ran out.
+    /// The configuration that this entry holds; it may be outdated if its lease has expired.
     pub fn view(&self) -> Rc<ConfigView> {
         self.view.borrow().clone()
     }
 
-    /// Targets as this entry sees them.
+    /// State of the targets as this entry sees them.
     pub fn target_views(&self) -> Vec<TargetView> {
         self.targets.borrow().views(self.now())
     }
 
-    /// What is left of the configuration's lease.
+    /// Time until the lease of the configuration expires.
     pub fn lease_left(&self) -> Duration {
         let until = self.lease_until.get();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(Instant::now()))
@@ -116,24 +118,26 @@
         self.stopping.get()
     }
 
-    /// Refuses to route by a configuration that may have been replaced.
+    /// Checks that the configuration may be used to route a request of `profile`.
     ///
-    /// Failure guarded: an entry behind a silent cut keeps sending requests by a profile that was
-    /// changed or retired. It shows as two entries that answer from different versions for as long
-    /// as the cut lasts. Every confirmed watch covers all changes accepted before it was sent, so
-    /// an entry that has had none for one lease may have missed one, and says `not-run`.
+    /// Prevents a partitioned entry from routing by a profile that has been changed or retired, so
+    /// that two entries answer from different versions while the partition lasts. A confirmed watch
+    /// call covers all changes committed before it was sent. An entry without one for the length of
+    /// its lease may have missed a change and rejects the request with `not-run`.
     pub(crate) fn check_lease(&self, profile: &ProfileRecord) -> Result<(), FailureReport> {
         if !self.lease_left().is_zero() {
             return Ok(());
         }
-        // The operator chose to serve on; but an entry that never held any configuration cannot.
+        // The operator allows serving with an expired lease; an entry that has never received a
+        // configuration still cannot.
         if profile.spec.serve_without_lease && self.view.borrow().revision > Revision(0) {
             return Ok(());
         }
         Err(FailureReport::not_run(RefusalReason::LeaseExpired, "the configuration is unconfirmed"))
     }
 
-    /// Recomputes what depends on configuration and targets.
+    /// Updates the admission limits from the configuration and the targets, and admits the waiting
+    /// requests that now fit.
     pub(crate) fn refresh_limits(&self) {
         let view = self.view();
         let limit_of = |group: &egretseam_proto::GroupName| {
--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -1,5 +1,5 @@
-//! Relays answers that are too long to hold: event streams, which go on elsewhere when they break,
-//! and large bodies, which then end visibly broken.
+//! Relays responses that are not buffered. If one breaks off, an event stream is resumed at another
+//! target; a large body ends in an error that the caller can detect.
 
 use crate::{
     attempt::{self, AttemptReply},
@@ -18,17 +18,17 @@
 use std::{io, rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// Ends every event of a stream.
+/// Terminator of every event of a stream.
 const EVENT_END: &[u8] = b"\n\n";
-/// The event that says a stream is whole.
+/// The last event of a complete stream.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
-/// Largest single event.
-const MAX_EVENT_BYTES: usize = 1024 * 1024;
-/// Most further targets that one stream goes on at. When a zone is lost, several in a row may be
-/// dead before their silence shows; finding that out is quick.
+/// Largest incomplete event with which a stream is still resumed.
+const MAX_PARTIAL_EVENT_BYTES: usize = 1024 * 1024;
+/// Maximum number of targets after the first that one stream tries. When a zone fails, several
+/// tried in a row may be down before their missing reports exclude them; such attempts fail fast.
 const MAX_RESUMES: usize = 8;
 
-/// Relays an answer as it comes.
+/// Relays a response as it arrives.
 pub(crate) fn relay(
     shared: Rc<EntryShared>,
     request: CallerRequest,
@@ -60,9 +60,9 @@
     request: CallerRequest,
     profile: ProfileRecord,
     reply: AttemptReply,
-    /// Bytes of an event that is not complete yet.
+    /// Bytes of an incomplete event.
     buffer: BytesMut,
-    /// Complete events that the caller has been given.
+    /// Complete events that have been passed on to the caller.
     events: u64,
     tried: Vec<InstanceName>,
     resumable: bool,
@@ -71,8 +71,8 @@
 }
 
 impl StreamRelay {
-    /// The next bytes for the caller. An error makes the server close the connection without the
-    /// last chunk, which is how the caller sees that the answer is not whole.
+    /// Returns the next bytes for the caller. An error makes the server close the connection
+    /// without the last HTTP chunk, which shows the caller that the response is incomplete.
     async fn next(mut self) -> Option<(io::Result<Bytes>, Self)> {
         if self.finished {
             self.drain().await;
@@ -102,7 +102,7 @@
                 tracing::info!(
                     request = self.request.id,
                     events = self.events,
-                    "an answer broke off"
+                    "response broke off; closing the connection to the caller"
                 );
                 let error = io::Error::new(io::ErrorKind::UnexpectedEof, "the answer broke off");
                 return Some((Err(error), self));
@@ -110,16 +110,17 @@
         }
     }
 
-    /// Reads the end of a stream whose last event has come, so that its connection can be used
-    /// again; a target that does not end it soon costs the connection and no time.
+    /// Reads the end of a stream whose last event has arrived, so that its connection can be
+    /// reused. If the target does not end the body within the timeout, the connection is closed
+    /// instead.
     async fn drain(&mut self) {
         const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
         let rest = async { while let Some(Ok(_)) = self.reply.response.next().await {} };
         tokio::time::timeout(DRAIN_TIMEOUT, rest).await.ok();
     }
 
-    /// Takes bytes in; returns what the caller can be given. Of a resumable stream only complete
-    /// events are passed on, so that the place to go on from is always between two events.
+    /// Accepts bytes from the target and returns those to pass on. Of a resumable stream only
+    /// complete events are passed on, so that it can always be resumed between two events.
     fn accept_piece(&mut self, piece: &Bytes) -> Option<Bytes> {
         if !self.resumable {
             return Some(piece.clone());
@@ -140,8 +141,8 @@
         Some(complete)
     }
 
-    /// Whether a body that ended without an error is whole. A stream of events is whole only with
-    /// its last event; other bodies were checked by their length or their last chunk.
+    /// Whether a body that ended without an error is complete. A resumable stream would have ended
+    /// with its last event; other bodies have been checked by their length or last HTTP chunk.
     fn is_complete(&self) -> bool {
         !self.resumable
     }
@@ -153,12 +154,14 @@
         self.shared.counters.answered.inc();
     }
 
-    /// Goes on at another target that serves exactly the same weights, from the first event that
-    /// the caller does not have. Failure guarded: a target dies in mid-answer and a fitter on a
-    /// roof gets half a diagnosis. Another version would continue a different answer, so without
-    /// one of the same version the stream ends broken instead.
+    /// Resumes the stream, from the first event that the caller lacks, at another target that
+    /// serves exactly the same weights. Returns whether it could be resumed.
+    ///
+    /// Without this, a target that dies mid-response leaves the caller with an incomplete one, such
+    /// as half a diagnosis. Another version would continue a different response, so if no target
+    /// serves the same one, the stream ends incomplete.
     async fn resume(&mut self) -> bool {
-        if !self.resumable || self.buffer.len() > MAX_EVENT_BYTES {
+        if !self.resumable || self.buffer.len() > MAX_PARTIAL_EVENT_BYTES {
             return false;
         }
         let manifest = self.reply.choice.manifest;
@@ -193,13 +196,13 @@
     }
 }
 
-/// End of the last complete event.
+/// Offset after the last complete event.
 fn last_event_end(buffer: &[u8]) -> Option<usize> {
     let at = buffer.windows(EVENT_END.len()).rposition(|window| window == EVENT_END)?;
     Some(at + EVENT_END.len())
 }
 
-/// The complete events in `bytes`, without their ends.
+/// The complete events in `bytes`, without their terminators.
 fn split_events(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = bytes;
     std::iter::from_fn(move || {
