--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -1,11 +1,11 @@
-//! What callers and operators are told when they send something that cannot be used.
+//! Error responses to invalid requests of callers and operators.
 
 use crate::support::{KEY, TestCluster, block_on, options};
 use egretseam_http::{ClientOptions, http_client, reported_failure};
 use egretseam_proto::RequestVerdict;
 
-/// Sends one request and returns status, reason and verdict of its failure.
-fn refusal(
+/// Sends one request and returns the status, reason and verdict of the error response.
+fn send_invalid(
     method: &str,
     url: &str,
     key: Option<&str>,
@@ -16,30 +16,31 @@
     block_on(async move {
         let client = http_client(ClientOptions::default());
         let method = method.parse().expect("a method");
-        let mut call = client.request(method, url);
+        let mut request = client.request(method, url);
         if let Some(key) = key {
-            call = call.bearer_auth(key);
+            request = request.bearer_auth(key);
         }
-        let mut answer = call.send_body(body).await.expect("an answer");
-        let report = reported_failure(answer.headers()).expect("a failure of ours");
-        let kind = answer.headers().get("content-type").expect("a type").clone();
-        assert_eq!(kind, "application/problem+json");
-        let document: serde_json::Value = answer.json().await.expect("a problem document");
-        assert_eq!(document["status"], answer.status().as_u16());
+        let mut response = request.send_body(body).await.expect("a response");
+        let report =
+            reported_failure(response.headers()).expect("a verdict and a reason in the headers");
+        let content_type = response.headers().get("content-type").expect("a content type").clone();
+        assert_eq!(content_type, "application/problem+json");
+        let document: serde_json::Value = response.json().await.expect("a problem document");
+        assert_eq!(document["status"], response.status().as_u16());
         assert_eq!(document["reason"], report.reason.slug());
-        (answer.status().as_u16(), report.reason.slug().to_owned(), report.verdict)
+        (response.status().as_u16(), report.reason.slug().to_owned(), report.verdict)
     })
 }
 
-/// Method, address, key, body, and the status and reason that must come back.
-type BadCase<'a> = (&'a str, String, Option<&'a str>, Vec<u8>, u16, &'a str);
+/// Method, URL, API key or token, body, and the expected status and reason.
+type InvalidRequest<'a> = (&'a str, String, Option<&'a str>, Vec<u8>, u16, &'a str);
 
 #[test]
-fn callers_are_told_what_is_wrong() {
+fn callers_receive_the_reason_of_a_rejection() {
     let test = TestCluster::start(options(1, 0));
     let base = format!("http://{}", test.cluster.caller_addresses()[0]);
     let completions = format!("{base}/v1/completions");
-    let cases: Vec<BadCase<'_>> = vec![
+    let cases: Vec<InvalidRequest<'_>> = vec![
         ("POST", completions.clone(), Some(KEY), b"{".to_vec(), 400, "bad-request"),
         (
             "POST",
@@ -66,15 +67,16 @@
         ("GET", format!("{base}/services/bad%20name/x"), Some(KEY), Vec::new(), 404, "not-found"),
     ];
     for (method, url, key, body, status, reason) in cases {
-        let found = refusal(method, &url, key, body);
+        let found = send_invalid(method, &url, key, body);
         assert_eq!(found, (status, reason.to_owned(), RequestVerdict::NotRun), "{method} {url}");
     }
 }
 
-/// What users would see: a broken connection instead of the word that a body is too large. The caller
-/// is still sending when it is refused, and the close resets it before it has read the answer.
+/// Guards against a caller that is still sending its body seeing a connection reset instead of the
+/// response 413: the entry rejects the body before it has read all of it, and closing the
+/// connection with unread data resets it before the caller has read the response.
 #[test]
-fn a_caller_that_is_still_sending_is_told_that_its_body_is_too_large() {
+fn a_caller_still_sending_an_oversized_body_receives_413() {
     use std::io::{Read, Write};
     let test = TestCluster::start(options(1, 0));
     let address = test.cluster.caller_addresses()[0].to_string();
@@ -87,25 +89,25 @@
     stream.write_all(head.as_bytes()).expect("sent");
     let piece = vec![b' '; 64 << 10];
     for sent in 0..length / piece.len() {
-        stream.write_all(&piece).expect("the connection stands until all is sent");
+        stream.write_all(&piece).expect("the connection stays open until the whole body is sent");
         if sent > (8 << 20) / piece.len() {
-            // Beyond the limit: time for the refusal to be on its way.
+            // Past the limit: leave the entry time to reject the body.
             std::thread::sleep(std::time::Duration::from_millis(10));
         }
     }
-    let mut answer = [0; 12];
-    stream.read_exact(&mut answer).expect("an answer");
-    assert_eq!(&answer, b"HTTP/1.1 413");
+    let mut status_line = [0; 12];
+    stream.read_exact(&mut status_line).expect("a response");
+    assert_eq!(&status_line, b"HTTP/1.1 413");
 }
 
 #[test]
-fn operators_are_told_what_is_wrong() {
+fn operators_receive_the_reason_of_a_rejection() {
     let test = TestCluster::start(options(0, 0));
     let base = format!("http://{}", test.cluster.entry_operator(0));
     let token = test.cluster.operator_token();
     let token = Some(token.expose());
     let edits = format!("{base}/v1/edits");
-    let cases: Vec<BadCase<'_>> = vec![
+    let cases: Vec<InvalidRequest<'_>> = vec![
         ("POST", edits.clone(), token, b"[]".to_vec(), 400, "bad-request"),
         ("POST", edits.clone(), Some("guess"), b"{}".to_vec(), 401, "unauthorized"),
         ("GET", format!("{base}/v1/config"), None, Vec::new(), 401, "unauthorized"),
@@ -114,7 +116,7 @@
         ("GET", format!("{base}/v1/history/a%20b"), token, Vec::new(), 400, "bad-request"),
     ];
     for (method, url, key, body, status, reason) in cases {
-        let found = refusal(method, &url, key, body);
+        let found = send_invalid(method, &url, key, body);
         assert_eq!(found, (status, reason.to_owned(), RequestVerdict::NotRun), "{method} {url}");
     }
 }
