--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -219,12 +219,12 @@
 
 /// Whether a response is relayed rather than buffered: event streams and large bodies are.
 fn must_stream(reply: &AttemptReply) -> bool {
-    const MAX_BUFFERED_LENGTH: u64 = 4 * 1024 * 1024;
+    const MAX_BUFFERED_CONTENT_LENGTH: u64 = 4 * 1024 * 1024;
     let headers = reply.response.headers();
     let is_event_stream = header_text(headers, "content-type")
         .is_some_and(|kind| kind.starts_with("text/event-stream"));
     let length = header_text(headers, "content-length").and_then(|text| text.parse::<u64>().ok());
-    is_event_stream || length.is_some_and(|length| length > MAX_BUFFERED_LENGTH)
+    is_event_stream || length.is_some_and(|length| length > MAX_BUFFERED_CONTENT_LENGTH)
 }
 
 /// Forwards a request with an idempotency key, which must run at most once.
