--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -65,7 +65,7 @@
         arrived = waiting => arrived,
         // An idle connection of a stopping entry is closed; a request that crosses the close was
         // not read, which callers know.
-        _ = stop.wait_for(|phase| *phase == StopPhase::Refusing) => return AfterRequest::Close,
+        _ = stop.wait_for(|phase| *phase == StopPhase::Rejecting) => return AfterRequest::Close,
     };
     if !matches!(arrived, Ok(Ok(true))) {
         return AfterRequest::Close;
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What is spoken with callers and targets, behind a trait: names and formats only.
+//! Header names and message formats of callers and targets, behind a trait without logic.
 
 use bytes::Bytes;
 use egretseam_h1::{RequestHead, ResponseHead};
@@ -6,73 +6,74 @@
 use egretseam_serving::TargetId;
 use std::{net::SocketAddr, time::Duration};
 
-/// What a caller's head says besides route and framing.
+/// Headers of a caller's request other than those for routing and framing.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMetadata {
-    /// Id of this one attempt of the caller; targets repeat it in their answers.
+    /// Id of this attempt of the caller; targets return it in their responses.
     pub id: String,
-    /// How long the caller will wait.
+    /// Time until the caller stops waiting.
     pub time_left: Option<Duration>,
     /// API key.
     pub api_key: Option<String>,
-    /// Model that must answer.
+    /// Model that must serve the request.
     pub model: Option<ModelName>,
 }
 
-/// One sending of a request to a target.
+/// A request as it is sent to a target.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetRequest<'a> {
-    /// The target's identity, so that whoever else has its address now refuses.
+    /// The target's identity. Another target that has its address now rejects the request.
     pub target: &'a TargetId,
     /// The caller's organisation.
     pub organisation: Option<&'a OrganisationName>,
-    /// What is left of the caller's time.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// Whether a caller waits in the middle of its answer, so that engines should take the request
-    /// before others.
+    /// Whether the request resumes an interrupted response, so that engines should run it before
+    /// others.
     pub urgent: bool,
-    /// Last event that the caller has, where a stream goes on; `None` leaves the caller's own word.
+    /// Id of the last event that the caller received, if a stream is resumed; `None` forwards the
+    /// caller's own `Last-Event-Id` header.
     pub last_event_id: Option<&'a str>,
-    /// Body of the request.
+    /// The request body.
     pub body: &'a Bytes,
 }
 
-/// What a target's head says besides status and framing.
+/// Headers of a target's response other than those for status and framing.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseMetadata {
-    /// Id of the request that it answers.
+    /// Id of the request that this responds to.
     pub request_id: Option<String>,
-    /// Whether it bears a target's signature.
+    /// Whether the response carries a target's signature.
     pub signed: bool,
-    /// Whether the target states that the request did not run and never will.
+    /// Whether the target states that it did not and will not execute the request.
     pub not_executed: bool,
     /// Whether another target has the address now.
     pub wrong_target: bool,
-    /// Requests running and waiting at the target.
+    /// Number of requests that are running or queued at the target.
     pub load: Option<u32>,
-    /// How long the target keeps an idle connection.
+    /// Time for which the target keeps an idle connection open.
     pub keep_alive: Option<Duration>,
 }
 
-/// A caller's question for addresses.
+/// A caller's lookup of entry addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LookupQuery {
     /// The caller's availability zone.
     pub zone: Option<String>,
 }
 
-/// What callers and targets speak.
+/// Reads and writes the messages of callers and targets.
 pub trait CallerDialect {
-    /// Reads a caller's head.
+    /// Reads the head of a caller's request.
     fn read_request_metadata(&self, head: &RequestHead) -> RequestMetadata;
-    /// The head and body to send to a target.
+    /// Encodes the head and body to send to a target.
     fn write_request(&self, head: &RequestHead, send: &TargetRequest<'_>) -> Bytes;
-    /// Reads a target's head.
+    /// Reads the head of a target's response.
     fn read_response_metadata(&self, head: &ResponseHead) -> ResponseMetadata;
-    /// Reads a question for addresses; `None` if it is none.
+    /// Reads an address lookup; `None` for any other request.
     fn read_lookup(&self, head: &RequestHead) -> Option<LookupQuery>;
-    /// The answer to it.
+    /// Encodes the body of the response to an address lookup.
     fn write_lookup(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
-    /// Whether the platform asks for readiness.
+    /// Whether this is the platform's readiness check.
     fn is_health_check(&self, head: &RequestHead) -> bool;
 }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,89 +1,94 @@
-//! Telling callers which entries to use, and the platform whether this one is ready.
+//! Replies to callers' lookups of entry addresses and to the platform's readiness checks.
 
 use crate::shared::GatewayShared;
 use egretseam_h1::{ConnectionOptions, HeadWriter, HttpConnection};
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::{net::TcpStream, time::Instant};
 
-/// Largest head of a question.
-const MAX_HEAD: usize = 8 * 1024;
-/// How long a connection for questions may be idle.
-const IDLE_LIMIT: Duration = Duration::from_secs(15);
-/// Most addresses in one answer; callers read no more.
+/// Largest request head.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Most addresses in one response; callers ignore any further ones.
 const MAX_ADDRESSES: usize = 64;
 
-/// Serves a connection on which callers ask for addresses.
+/// Serves a connection for address lookups by callers.
 pub(crate) async fn serve_lookups(shared: Rc<GatewayShared>, stream: TcpStream) {
     serve(stream, |head| match shared.dialect.read_lookup(head) {
         Some(query) => {
-            let far = is_far(&shared, query.zone.as_deref());
-            let addresses = addresses(&shared, query.zone.as_deref(), far);
+            let cross_zone = is_cross_zone(&shared, query.zone.as_deref());
+            let addresses = addresses(&shared, query.zone.as_deref(), cross_zone);
             if addresses.is_empty() {
-                return answer(503, "Service Unavailable", b"no entry is known");
+                return response(503, "Service Unavailable", b"no entry is known");
             }
-            let lifetime = lifetime(&shared, far);
-            answer(200, "OK", &shared.dialect.write_lookup(&addresses, lifetime))
+            let lifetime = lifetime(&shared, cross_zone);
+            response(200, "OK", &shared.dialect.write_lookup(&addresses, lifetime))
         }
-        None => answer(404, "Not Found", b"no such call"),
+        None => response(404, "Not Found", b"no such call"),
     })
     .await;
 }
 
-/// Serves a connection on which the platform checks readiness.
+/// Serves a connection for the platform's readiness checks.
 pub(crate) async fn serve_health(shared: Rc<GatewayShared>, stream: TcpStream) {
     serve(stream, |head| {
         if !shared.dialect.is_health_check(head) {
-            return answer(404, "Not Found", b"no such call");
+            return response(404, "Not Found", b"no such call");
         }
         if shared.is_ready() {
-            return answer(200, "OK", b"ready");
+            return response(200, "OK", b"ready");
         }
-        answer(503, "Service Unavailable", b"not ready")
+        response(503, "Service Unavailable", b"not ready")
     })
     .await;
 }
 
-fn answer(status: u16, phrase: &str, body: &[u8]) -> bytes::Bytes {
+fn response(status: u16, phrase: &str, body: &[u8]) -> bytes::Bytes {
     let mut head = HeadWriter::response(status, phrase.as_bytes());
     head.text("Content-Type", "application/json");
     head.finish_with(body)
 }
 
-fn addresses(shared: &GatewayShared, zone: Option<&str>, far: bool) -> Vec<SocketAddr> {
+fn addresses(shared: &GatewayShared, zone: Option<&str>, cross_zone: bool) -> Vec<SocketAddr> {
     let mut roster = shared.roster.borrow_mut();
-    // This entry knows best whether it is ready itself.
+    // The roster from control may be outdated about this entry.
     roster.apply(shared.record(), Instant::now());
-    if far {
-        let elsewhere = roster.addresses_outside_zone(zone, MAX_ADDRESSES);
-        if !elsewhere.is_empty() {
-            return elsewhere;
+    if cross_zone {
+        let outside_zone = roster.addresses_outside_zone(zone, MAX_ADDRESSES);
+        if !outside_zone.is_empty() {
+            return outside_zone;
         }
     }
     roster.addresses(zone, MAX_ADDRESSES)
 }
 
-/// Whether a caller of another zone asks. Callers ask the nearest entries first, so those of its
-/// own zone did not answer it.
+/// Whether the lookup comes from another availability zone. Callers query the nearest entries
+/// first, so the entries of the caller's own zone did not reply.
 ///
-/// Failure guarded: all entries of a zone are dark, and its callers ask each of them in vain before
-/// they ask here. Asking anew every second, they spend two of three seconds on that, and on the way
-/// to entries that are still listed; it shows as late answers for that zone alone.
-fn is_far(shared: &GatewayShared, zone: Option<&str>) -> bool {
+/// Prevents late responses to the callers of a zone whose entries are all unreachable. They time
+/// out on each of these entries before they query one in another zone; with a lookup every second
+/// they would spend two of three seconds on this, and on requests to unreachable entries that are
+/// still listed.
+fn is_cross_zone(shared: &GatewayShared, zone: Option<&str>) -> bool {
     zone.is_some_and(|zone| zone != shared.options.zone.as_str())
 }
 
-fn lifetime(shared: &GatewayShared, far: bool) -> Duration {
-    if far { shared.options.cross_zone_address_lifetime } else { shared.options.address_lifetime }
+fn lifetime(shared: &GatewayShared, cross_zone: bool) -> Duration {
+    if cross_zone {
+        shared.options.cross_zone_address_lifetime
+    } else {
+        shared.options.address_lifetime
+    }
 }
 
-async fn serve(stream: TcpStream, answer: impl Fn(&egretseam_h1::RequestHead) -> bytes::Bytes) {
+async fn serve(stream: TcpStream, respond: impl Fn(&egretseam_h1::RequestHead) -> bytes::Bytes) {
     let Ok(mut connection) = HttpConnection::new(stream, &ConnectionOptions::default()) else {
         return;
     };
     loop {
-        let read = connection.read_request(MAX_HEAD);
-        let Ok(Ok(Some(head))) = tokio::time::timeout(IDLE_LIMIT, read).await else { return };
-        if connection.write(&answer(&head)).await.is_err() || !head.keeps_alive() {
+        let read = connection.read_request(MAX_HEAD_BYTES);
+        let Ok(Ok(Some(head))) = tokio::time::timeout(IDLE_TIMEOUT, read).await else { return };
+        if connection.write(&respond(&head)).await.is_err() || !head.keeps_alive() {
             return;
         }
     }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,8 +1,8 @@
-//! Following control: one task for each control member reads its feed.
+//! Reads the feeds of all control members, with one task for each member.
 //!
-//! Every member is read, since each passes on only what targets told it; the word of one that is
-//! lost then still stands at the others. All of them may be lost: what is known is kept and served
-//! by, and nothing is taken back.
+//! Every member is read, since each forwards only the announcements that targets sent to it; if a
+//! member is lost, the others still report the targets. If all members are lost, the entry keeps
+//! its state and continues to serve with it.
 
 use crate::{place, shared::GatewayShared};
 use egretseam_delta::PackedDocument;
@@ -16,51 +16,54 @@
 };
 use tokio::{sync::watch, time::Instant};
 
-/// How long a reading may wait for news. Bounds how long an entry that died is still listed.
-const READING_WAIT: Duration = Duration::from_millis(1_000);
-/// How long a connection to a control member may take: a dozen round trips between regions. After a
-/// loss of power an entry starts before control does, and the opening packets that it sent to dark
-/// members are lost: with 400 ms it had its configuration 0.3 s after control was up, on average.
-const CONNECT_LIMIT: Duration = Duration::from_millis(150);
-/// Time beyond the wait after which a reading has failed.
-const READING_SLACK: Duration = Duration::from_millis(700);
-/// Pause after the first failed readings: a member that restarts is back within a second.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// How many failures in a row count as first ones.
-const FIRST_FAILURES: u32 = 8;
-/// Pause after further ones.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(200);
-/// How often the list of members to follow is compared with what is known.
-const MEMBERS_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a member that nobody names any more is still followed.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Readings that fail in a row before a member's word about targets counts as lost.
-const LOST_AFTER: u32 = 2;
+/// How long a control member may hold a feed call until something changes. Bounds the time for
+/// which a crashed entry is still listed.
+const LONG_POLL_WAIT: Duration = Duration::from_millis(1_000);
+/// Time allowed for connecting to a control member: a dozen round trips between regions. After a
+/// power failure entries start before control does, and the SYN packets that they send to members
+/// that are not up yet are lost: with 400 ms an entry had its configuration 0.3 s after control was
+/// up, on average.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time beyond [`LONG_POLL_WAIT`] after which a feed call has failed.
+const CALL_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
+/// Delay before the first retries of a feed call: a member that restarts is back within a second.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Number of retries in a row after [`FIRST_RETRY_DELAY`].
+const FIRST_RETRIES: u32 = 8;
+/// Delay before further retries.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Interval at which tasks are started for newly listed members.
+const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long an unreachable member is still called after a seed or another member last listed it.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(30);
+/// Failed feed calls in a row after which a control member counts as lost.
+const LOST_AFTER_FAILURES: u32 = 2;
 
-/// Members being followed.
+/// Control members that are listed, with the sources of those whose feeds are read.
 #[derive(Default)]
-pub(crate) struct Followed {
-    /// By feed address: number of the source and when somebody last named it.
-    rows: RefCell<IndexMap<String, (u32, Instant)>>,
+pub(crate) struct FollowedMembers {
+    /// Source number and time of the last listing, by feed address. The source number identifies
+    /// the member in the target table; it is [`Self::UNSTARTED`] until a task reads the feed.
+    members: RefCell<IndexMap<String, (u32, Instant)>>,
 }
 
-/// Starts a task for each member that seeds or other members name, for as long as they do.
-pub(crate) async fn follow_all(shared: Weak<GatewayShared>, leaving: watch::Receiver<bool>) {
-    let followed = Rc::new(Followed::default());
+/// Starts a task for each member that a seed or another member lists.
+pub(crate) async fn follow_members(shared: Weak<GatewayShared>, leaving: watch::Receiver<bool>) {
+    let followed = Rc::new(FollowedMembers::default());
     let mut next_source = 0;
     loop {
         {
             let Some(shared) = shared.upgrade() else { return };
             let seeds = shared.options.seeds.borrow().clone();
             for seed in seeds {
-                followed.name(&seed);
+                followed.record_listed(&seed);
             }
             for address in followed.unstarted() {
                 let source = next_source;
                 next_source += 1;
-                followed.start(&address, source);
-                tracing::info!(member = %address, "following a control member");
-                let follower = Follower {
+                followed.set_source(&address, source);
+                tracing::info!(member = %address, "reading the feed of a control member");
+                let follower = FeedFollower {
                     link: feed_link(&shared, &address),
                     source,
                     followed: followed.clone(),
@@ -71,208 +74,219 @@
                 actix_rt::spawn(follower.run(shared, leaving));
             }
         }
-        tokio::time::sleep(MEMBERS_INTERVAL).await;
+        tokio::time::sleep(MEMBER_CHECK_INTERVAL).await;
     }
 }
 
 fn feed_link(shared: &GatewayShared, address: &str) -> FeedLink {
     let options = LinkOptions {
-        connect_timeout: CONNECT_LIMIT,
-        call_timeout: READING_SLACK,
+        connect_timeout: CONNECT_TIMEOUT,
+        call_timeout: CALL_TIMEOUT_MARGIN,
         ..LinkOptions::default()
     };
     FeedLink::new(address, shared.options.secret, options)
 }
 
-impl Followed {
+impl FollowedMembers {
     const UNSTARTED: u32 = u32::MAX;
 
-    fn name(&self, address: &str) {
+    fn record_listed(&self, address: &str) {
         let now = Instant::now();
-        let mut rows = self.rows.borrow_mut();
-        rows.entry(address.to_owned()).or_insert((Self::UNSTARTED, now)).1 = now;
+        let mut members = self.members.borrow_mut();
+        members.entry(address.to_owned()).or_insert((Self::UNSTARTED, now)).1 = now;
     }
 
     fn unstarted(&self) -> Vec<String> {
-        let rows = self.rows.borrow();
-        let fresh = rows.iter().filter(|(_, (source, _))| *source == Self::UNSTARTED);
-        fresh.map(|(address, _)| address.clone()).collect()
+        let members = self.members.borrow();
+        let unstarted = members.iter().filter(|(_, (source, _))| *source == Self::UNSTARTED);
+        unstarted.map(|(address, _)| address.clone()).collect()
     }
 
-    fn start(&self, address: &str, source: u32) {
-        if let Some(row) = self.rows.borrow_mut().get_mut(address) {
-            row.0 = source;
+    fn set_source(&self, address: &str, source: u32) {
+        if let Some(member) = self.members.borrow_mut().get_mut(address) {
+            member.0 = source;
         }
     }
 
-    /// Whether a member that does not answer is worth following on.
-    fn is_named(&self, address: &str) -> bool {
-        let mut rows = self.rows.borrow_mut();
-        let named = rows.get(address).is_some_and(|(_, at)| at.elapsed() < FORGET_AFTER);
-        if !named {
-            rows.shift_remove(address);
+    /// Whether a seed or another member listed an unreachable member recently; if not, it is
+    /// removed.
+    fn is_listed(&self, address: &str) -> bool {
+        let mut members = self.members.borrow_mut();
+        let listed = members.get(address).is_some_and(|(_, at)| at.elapsed() < UNLISTED_RETENTION);
+        if !listed {
+            members.shift_remove(address);
         }
-        named
+        listed
     }
 }
 
-/// How far a member's feed has been read.
+/// Position up to which a member's feed has been read.
 #[derive(Clone, Copy, Debug, Default)]
 struct FeedPosition {
-    run: u64,
+    /// The member's incarnation that the numbers belong to.
+    incarnation: u64,
     targets_seen: u64,
     roster_seen: u64,
     /// Version of the configuration that the member has applied.
     config_version: u64,
 }
 
-struct Follower {
+struct FeedFollower {
     link: FeedLink,
     source: u32,
-    followed: Rc<Followed>,
+    followed: Rc<FollowedMembers>,
     position: FeedPosition,
     failures: u32,
 }
 
-impl Follower {
+impl FeedFollower {
     async fn run(mut self, shared: Weak<GatewayShared>, mut leaving: watch::Receiver<bool>) {
         loop {
             let call = {
                 let Some(shared) = shared.upgrade() else { return };
-                self.call(&shared)
+                self.next_call(&shared)
             };
             let config_held = call.config_held;
             let was_leaving = *leaving.borrow();
             let link = &self.link;
-            let reading = tokio::select! {
-                reading = link.feed(call) => Some(reading),
-                // Stopping is told at once, not when the present reading has ended.
+            let outcome = tokio::select! {
+                outcome = link.feed(call) => Some(outcome),
+                // Cancels the call so that the next one reports the stop without waiting.
                 _ = leaving.wait_for(|now| *now != was_leaving) => None,
             };
             let Some(shared) = shared.upgrade() else { return };
-            match reading {
+            match outcome {
                 None => {}
-                Some(Ok(reply)) => self.take(&shared, config_held, reply),
+                Some(Ok(reply)) => self.apply_reply(&shared, config_held, reply),
                 Some(Err(error)) => {
-                    self.note_failure(&shared, &error);
+                    self.record_failure(&shared, &error);
                     drop(shared);
-                    if !self.followed.is_named(self.link.address()) {
-                        tracing::info!(member = self.link.address(), "no longer followed");
+                    if !self.followed.is_listed(self.link.address()) {
+                        tracing::info!(
+                            member = self.link.address(),
+                            "no longer reading the feed of an unlisted control member"
+                        );
                         return;
                     }
-                    tokio::time::sleep(self.pause()).await;
+                    tokio::time::sleep(self.retry_delay()).await;
                 }
             }
         }
     }
 
-    fn pause(&self) -> Duration {
-        if self.failures <= FIRST_FAILURES { FIRST_PAUSE } else { PAUSE_AFTER_FAILURE }
+    fn retry_delay(&self) -> Duration {
+        if self.failures <= FIRST_RETRIES { FIRST_RETRY_DELAY } else { RETRY_DELAY }
     }
 
-    fn call(&self, shared: &GatewayShared) -> FeedCall {
+    fn next_call(&self, shared: &GatewayShared) -> FeedCall {
         FeedCall {
             reader: FeedReader::Entry(shared.record()),
-            run: self.position.run,
+            run: self.position.incarnation,
             targets_seen: self.position.targets_seen,
             roster_seen: self.position.roster_seen,
             config_held: shared.config_version(),
             config_wish: shared.config.borrow().next_request(self.position.config_version),
-            wait_millis: READING_WAIT.as_millis() as u64,
+            wait_millis: LONG_POLL_WAIT.as_millis() as u64,
         }
     }
 
-    fn note_failure(&mut self, shared: &GatewayShared, error: &egretseam_rpc::CallError) {
+    fn record_failure(&mut self, shared: &GatewayShared, error: &egretseam_rpc::CallError) {
         self.failures += 1;
-        if self.failures == LOST_AFTER {
+        if self.failures == LOST_AFTER_FAILURES {
             let member = self.link.address();
-            tracing::warn!(member, %error, "a control member does not answer");
+            tracing::warn!(member, %error, "control member lost: consecutive feed calls failed");
             shared.places.borrow_mut().targets.source_lost(self.source);
             shared.apply_roster(self.source, None);
-            // What it knew is asked for again from the start when it is back.
+            // When the member replies again, its complete state is requested.
             self.position = FeedPosition::default();
         }
     }
 
-    fn take(&mut self, shared: &Rc<GatewayShared>, config_held: u64, reply: FeedReply) {
-        if self.failures >= LOST_AFTER {
-            tracing::info!(member = self.link.address(), "a control member answers again");
+    fn apply_reply(&mut self, shared: &Rc<GatewayShared>, config_held: u64, reply: FeedReply) {
+        if self.failures >= LOST_AFTER_FAILURES {
+            tracing::info!(member = self.link.address(), "control member replies again");
         }
         self.failures = 0;
         let now = Instant::now();
         {
             let mut places = shared.places.borrow_mut();
-            if self.position.run != reply.run && self.position.run != 0 {
+            if self.position.incarnation != reply.run && self.position.incarnation != 0 {
                 places.targets.source_restarted(self.source, now);
             }
             for id in &reply.gone {
                 places.targets.remove_target(id, now);
             }
-            for news in &reply.targets {
-                log_target(news);
-                places.targets.apply_target(self.source, news, now);
+            for status in &reply.targets {
+                log_target(status);
+                places.targets.apply_target(self.source, status, now);
             }
-            for news in &reply.engines {
-                places.targets.apply_engine(news, now);
+            for status in &reply.engines {
+                places.targets.apply_engine(status, now);
             }
         }
         for id in &reply.gone {
-            tracing::info!(target_id = %id, "a target left");
+            tracing::info!(target_id = %id, "target removed");
             shared.pool.borrow_mut().forget(id);
         }
-        let has_news = !reply.targets.is_empty() || !reply.engines.is_empty();
+        let has_changes = !reply.targets.is_empty() || !reply.engines.is_empty();
         if let Some(roster) = reply.roster {
-            self.take_roster(shared, roster, now);
+            self.apply_roster(shared, roster, now);
         }
-        self.position.run = reply.run;
+        self.position.incarnation = reply.run;
         self.position.targets_seen = reply.targets_seen;
         if let Some(config) = reply.config {
-            take_config(shared, config_held, reply.config_version, &config);
+            apply_config(shared, config_held, reply.config_version, &config);
         }
-        // Whoever says that there is a newer one is asked for it, unless another was quicker.
+        // The next call requests a newer configuration from this member, unless one from another
+        // member has been applied by then.
         self.position.config_version = reply.config_version;
-        if has_news {
+        if has_changes {
             place::pump_all(shared);
         }
     }
 
-    fn take_roster(&mut self, shared: &GatewayShared, roster: FeedRoster, now: Instant) {
+    fn apply_roster(&mut self, shared: &GatewayShared, roster: FeedRoster, now: Instant) {
         self.position.roster_seen = roster.number;
         for member in &roster.members {
-            self.followed.name(member);
+            self.followed.record_listed(member);
         }
         {
             let mut places = shared.places.borrow_mut();
-            for named in &roster.versions {
-                places.targets.apply_version(named, shared.options.staleness_bound, now);
+            for published in &roster.versions {
+                places.targets.apply_version(published, shared.options.staleness_bound, now);
             }
         }
         shared.apply_roster(self.source, Some(roster.entries));
     }
 }
 
-fn log_target(news: &egretseam_serving::TargetStatus) {
+fn log_target(status: &egretseam_serving::TargetStatus) {
     tracing::info!(
-        target_id = %news.record.id,
-        service = %news.record.service,
-        address = %news.record.address,
-        state = ?news.record.state,
-        silent = news.silent,
-        models = ?news.record.models,
-        sequence = news.record.sequence,
-        age_millis = news.age_millis,
-        "target changed"
+        target_id = %status.record.id,
+        service = %status.record.service,
+        address = %status.record.address,
+        state = ?status.record.state,
+        silent = status.silent,
+        models = ?status.record.models,
+        sequence = status.record.sequence,
+        age_millis = status.age_millis,
+        "target status changed"
     );
 }
 
-/// Puts a configuration in force if it is newer than the one in force.
-fn take_config(shared: &GatewayShared, base: u64, version: u64, packed: &PackedDocument) {
-    let taken = shared.config.borrow_mut().apply(base, version, packed);
-    let config = match taken {
+/// Applies a configuration if it is newer than the one in force.
+fn apply_config(shared: &GatewayShared, base: u64, version: u64, packed: &PackedDocument) {
+    let applied = shared.config.borrow_mut().apply(base, version, packed);
+    let config = match applied {
         Ok(Some(config)) => config,
         Ok(None) => return,
         Err(error) => {
-            tracing::info!(base, version, %error, "a configuration is asked for again");
+            tracing::info!(
+                base,
+                version,
+                %error,
+                "configuration could not be applied; requesting it again"
+            );
             shared.metrics.config_unusable.inc();
             return;
         }
@@ -282,7 +296,7 @@
         routes = config.routes.len(),
         bytes = packed.size(),
         whole = packed.is_whole(),
-        "configuration in force"
+        "configuration applied"
     );
     shared.metrics.config_version.set(config.version as i64);
     shared.retry_detector.borrow_mut().retain(|name| config.routes.iter().any(|r| r.name == name));
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -100,7 +100,7 @@
     body: Bytes,
     received_at: Instant,
 ) -> Result<RequestState, Refusal> {
-    if shared.phase() >= StopPhase::Refusing {
+    if shared.phase() >= StopPhase::Rejecting {
         return Err(Refusal::later(RefusalKind::Stopping, RETURN_STOPPING));
     }
     let routes =
@@ -348,7 +348,7 @@
     match end {
         RelayEnd::Whole(after) => {
             placed.finish(AttemptOutcome::Answered);
-            shared.metrics.answered.inc();
+            shared.metrics.responses_forwarded.inc();
             Ok(after)
         }
         RelayEnd::TargetFailed(after) => {
@@ -431,7 +431,7 @@
     keeps: bool,
     id: &str,
 ) -> AfterRequest {
-    shared.metrics.count_refusal(refusal.kind);
+    shared.metrics.count_error(refusal.kind);
     tracing::info!(
         request_id = id,
         reason = refusal.kind.slug(),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,12 +1,13 @@
-//! The entry of a fleet without gates: answers callers and sends their requests straight to
+//! The entry of a fleet without gates: accepts callers' requests and sends them directly to
 //! targets.
 //!
-//! [`GatewayRuntime`] owns the listeners and tasks of one process, all on one thread. A caller's
-//! connection is served by `caller`, one request by `forward` (which decides, attempt by attempt,
-//! what may still be done with it) and one attempt by `attempt`; `relay` passes a stream's events
-//! on as they come. `place` holds the tables of [`egretseam_serving`] and the requests that wait
-//! for a place; `follow` keeps them current from every control member; `directory` tells callers
-//! which entries to use. What is spoken on the wire is behind [`CallerDialect`].
+//! [`GatewayRuntime`] owns the listeners and tasks of one process, all on one thread. `caller`
+//! serves a caller's connection, `forward` one request (it decides after each attempt whether the
+//! request may be retried) and `attempt` one attempt; `relay` forwards a stream's events as they
+//! arrive. `place` holds the tables of [`egretseam_serving`] and the requests that wait for a
+//! slot; `follow` updates the tables from the feeds of all control members; `loads` updates them
+//! from load datagrams; `directory` replies to callers' lookups of entry addresses.
+//! [`CallerDialect`] defines header names and message formats.
 
 mod attempt;
 mod caller;
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -1,4 +1,5 @@
-//! Hearing from control how busy targets are, and passing it on within the availability zone.
+//! Receives load datagrams from control and forwards them to the other entries of the availability
+//! zone.
 
 use crate::{place, shared::GatewayShared};
 use egretseam_rpc::{LoadDatagram, MAX_DATAGRAM};
@@ -9,14 +10,14 @@
 };
 use tokio::{net::UdpSocket, time::Instant};
 
-/// How old a sample is when it arrives: engines report some 200 ms late, and agents and control
-/// gather for some 100 ms.
+/// Age of a sample on arrival: engines report about 200 ms late, and agents and control collect
+/// samples for about 100 ms.
 const SAMPLE_AGE: Duration = Duration::from_millis(280);
-/// Pause after the socket failed.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause after an error of the socket.
+const ERROR_PAUSE: Duration = Duration::from_millis(50);
 
-/// Takes datagrams in for as long as the entry lives.
-pub(crate) async fn hear(shared: Weak<GatewayShared>, socket: UdpSocket) {
+/// Receives load datagrams until the entry is dropped.
+pub(crate) async fn receive(shared: Weak<GatewayShared>, socket: UdpSocket) {
     let mut buffer = [0; MAX_DATAGRAM];
     loop {
         let received = socket.recv_from(&mut buffer).await;
@@ -24,17 +25,17 @@
         let length = match received {
             Ok((length, _)) => length,
             Err(error) => {
-                tracing::debug!(%error, "a datagram could not be received");
-                tokio::time::sleep(PAUSE).await;
+                tracing::debug!(%error, "receiving a load datagram failed");
+                tokio::time::sleep(ERROR_PAUSE).await;
                 continue;
             }
         };
         let Some(datagram) = LoadDatagram::decode(&shared.options.secret, &buffer[..length]) else {
-            tracing::debug!("a datagram that is not ours was dropped");
+            tracing::debug!("load datagram dropped: malformed or from an unknown sender");
             continue;
         };
         if datagram.for_zone {
-            pass_on(&shared, &socket, &datagram).await;
+            forward(&shared, &socket, &datagram).await;
         }
         if !shared.options.uses_load_datagrams {
             continue;
@@ -56,10 +57,11 @@
 
 /// Sends a datagram's samples to the other entries of this one's availability zone.
 ///
-/// Answers the load pattern of hundreds of targets whose load changes ten times a second: sent to each
-/// entry by each control member, samples grow with the product of targets and entries. Passed on here,
-/// a member sends each once for an availability zone.
-async fn pass_on(shared: &Rc<GatewayShared>, socket: &UdpSocket, datagram: &LoadDatagram) {
+/// Load pattern: the load of hundreds of targets changes ten times a second. If each control member
+/// sent every sample to each entry, the number of samples sent would grow with the product of
+/// targets and entries. Because entries forward samples, a member sends each one once per
+/// availability zone.
+async fn forward(shared: &Rc<GatewayShared>, socket: &UdpSocket, datagram: &LoadDatagram) {
     let Ok(own) = socket.local_addr() else { return };
     let others: Vec<SocketAddr> = {
         let roster = shared.roster.borrow();
@@ -69,7 +71,7 @@
     let bytes = LoadDatagram::encode(&shared.options.secret, false, &datagram.samples);
     for other in &others {
         if let Err(error) = socket.send_to(&bytes, other).await {
-            tracing::debug!(%other, %error, "a datagram could not be sent");
+            tracing::debug!(%other, %error, "forwarding a load datagram to another entry failed");
         }
     }
 }
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -17,9 +17,9 @@
     pub callers: TcpListener,
     /// For the platform's readiness checks.
     pub health: TcpListener,
-    /// For callers' questions for addresses.
+    /// For callers' address lookups.
     pub directory: TcpListener,
-    /// For control's datagrams.
+    /// For control's load datagrams.
     pub loads: UdpSocket,
 }
 
@@ -30,34 +30,35 @@
     pub name: String,
     /// Availability zone.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Address for callers' requests, as given to callers.
     pub caller_address: SocketAddr,
-    /// Shared secret of our processes.
+    /// Shared secret of the fleet's processes.
     pub secret: PeerSecret,
-    /// `host:port` of control members' feeds to begin with.
+    /// `host:port` of the feeds of the control members that are followed from the start.
     pub seeds: Rc<RefCell<Vec<String>>>,
-    /// How targets are chosen.
+    /// Policy for choosing targets.
     pub placement: PlacementPolicy,
-    /// How requests wait.
+    /// Policy for requests that wait for a slot.
     pub waiting: WaitPolicy,
-    /// The retry budget that all entries share.
+    /// Policy for the retry budget, which all entries share.
     pub retries: RetryPolicy,
-    /// Time from naming a version until no request may begin on an older one, less a margin for
-    /// requests on their way.
+    /// Time from publishing a version until no request may begin on an older one, less a margin for
+    /// requests in flight.
     pub staleness_bound: Duration,
-    /// How long callers may keep the answer to a lookup.
+    /// How long callers may cache the response to an address lookup.
     pub address_lifetime: Duration,
-    /// The same for callers of other availability zones. They ask here after the entries of their
-    /// own zone did not answer, which takes them up to a second each.
+    /// [`Self::address_lifetime`] for callers of other availability zones. They query this entry
+    /// only after the entries of their own zone did not reply, each of which costs them up to a
+    /// second.
     pub cross_zone_address_lifetime: Duration,
-    /// Whether retries are detected by their deadline.
+    /// Whether retries are detected by the time that their callers have left.
     pub detects_retries: bool,
-    /// Most targets that one request may be sent to, whatever its route allows.
+    /// Upper bound of the attempts for one request, even if its route allows more.
     pub max_attempts: u32,
-    /// How long callers of streams stay without an event, at the least.
+    /// Shortest time without an event after which callers of streams disconnect.
     pub stream_idle_timeout: Duration,
-    /// Whether control's datagrams of how busy targets are count.
+    /// Whether samples in load datagrams update the known load of targets.
     pub uses_load_datagrams: bool,
-    /// Time from the order to stop until the process must have ended.
+    /// Time from the request to stop until the process must have exited.
     pub stop_limit: Duration,
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -118,7 +118,7 @@
     let mut buffer = EventBuffer::default();
     let keeps = keeps_caller(shared, request);
     if request.answering {
-        shared.metrics.resumed.inc();
+        shared.metrics.streams_resumed.inc();
     }
     loop {
         let piece = match next_piece(caller, request, &mut reader, &mut answer).await {
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an entry.
+//! Starts and stops an entry.
 
 use crate::{
     caller,
@@ -19,25 +19,27 @@
 use thiserror::Error;
 use tokio::{net::TcpStream, sync::watch, time::Instant};
 
-/// How often what is old is dropped.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Part of the time to stop during which new requests are still served: callers keep a list of
-/// addresses for up to three of its lifetimes, and answers begun then can still end in time.
+/// Interval at which expired connections and targets are removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Share of the stop limit during which new requests are still served: callers cache addresses for
+/// up to three times their lifetime, and responses that start during this time can still end
+/// within the limit.
 const SERVING_SHARE: f64 = 0.4;
-/// Time kept free at the end of a stop.
+/// Time reserved before the stop limit, in which the process exits.
 const STOP_RESERVE: Duration = Duration::from_millis(300);
 
 /// Why an entry could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// A listener cannot be used.
-    #[error("listener: {0}")]
+    /// A listener cannot be set up.
+    #[error("cannot set up listener: {0}")]
     Listener(#[from] io::Error),
 }
 
 /// A running entry.
 pub struct GatewayRuntime {
     shared: Rc<GatewayShared>,
+    /// Whether [`Self::stop`] has been called.
     leaving: watch::Sender<bool>,
 }
 
@@ -53,16 +55,16 @@
         metrics: &DaemonMetrics,
     ) -> Result<Self, StartError> {
         let shared = Rc::new(GatewayShared::new(options, dialect, metrics));
-        let (leaving, left) = watch::channel(false);
+        let (leaving, leaving_receiver) = watch::channel(false);
         accept(&shared, listeners.callers, caller::serve)?;
         accept(&shared, listeners.health, directory::serve_health)?;
         accept(&shared, listeners.directory, directory::serve_lookups)?;
-        actix_rt::spawn(follow::follow_all(Rc::downgrade(&shared), left));
+        actix_rt::spawn(follow::follow_members(Rc::downgrade(&shared), leaving_receiver));
         listeners.loads.set_nonblocking(true)?;
         let datagrams = tokio::net::UdpSocket::from_std(listeners.loads)?;
-        actix_rt::spawn(loads::hear(Rc::downgrade(&shared), datagrams));
-        actix_rt::spawn(sweep(Rc::downgrade(&shared)));
-        actix_rt::spawn(pump(Rc::downgrade(&shared)));
+        actix_rt::spawn(loads::receive(Rc::downgrade(&shared), datagrams));
+        actix_rt::spawn(expire(Rc::downgrade(&shared)));
+        actix_rt::spawn(dispatch_periodically(Rc::downgrade(&shared)));
         Ok(Self { shared, leaving })
     }
 
@@ -71,39 +73,45 @@
         self.shared.config_version()
     }
 
-    /// Whether a target of that identity takes requests, as far as this entry knows.
+    /// Whether the latest known incarnation of the target `id` accepts requests.
     pub fn is_target_ready(&self, id: &str) -> bool {
         self.shared.places.borrow().targets.is_ready(id)
     }
 
-    /// Stops without cutting a request off: first out of the directory, serving on while callers
-    /// still hold the address; then refusing what comes late; then done, when the last answer has
-    /// ended or the time is over.
+    /// Stops without interrupting requests. First the entry leaves the directory and still serves
+    /// requests of callers that cache its address. Then it rejects new requests, and returns when
+    /// the last response has ended or the stop limit is reached.
     pub async fn stop(self) {
         const POLL: Duration = Duration::from_millis(20);
         let began = Instant::now();
         let limit = self.shared.options.stop_limit;
         self.shared.stop_phase.send_replace(StopPhase::Leaving);
         self.leaving.send_replace(true);
-        tracing::info!(in_progress = self.shared.in_progress.get(), "leaving the directory");
+        tracing::info!(
+            in_progress = self.shared.in_progress.get(),
+            "entry stopping: left the directory, still serving requests"
+        );
         tokio::time::sleep(limit.mul_f64(SERVING_SHARE)).await;
-        self.shared.stop_phase.send_replace(StopPhase::Refusing);
-        tracing::info!(in_progress = self.shared.in_progress.get(), "refusing new requests");
-        let last = began + limit.saturating_sub(STOP_RESERVE);
-        // Callers come for as long as they keep the old list; they are told to go elsewhere.
-        let lists_gone = began + (self.shared.options.address_lifetime * 4).min(limit);
-        while Instant::now() < last {
+        self.shared.stop_phase.send_replace(StopPhase::Rejecting);
+        tracing::info!(
+            in_progress = self.shared.in_progress.get(),
+            "entry stopping: rejecting new requests"
+        );
+        let give_up_at = began + limit.saturating_sub(STOP_RESERVE);
+        // Callers that still cache the address are told to use another entry.
+        let caches_expired_at = began + (self.shared.options.address_lifetime * 4).min(limit);
+        while Instant::now() < give_up_at {
             let idle = self.shared.in_progress.get() == 0;
-            if idle && Instant::now() >= lists_gone {
+            if idle && Instant::now() >= caches_expired_at {
                 break;
             }
             tokio::time::sleep(POLL).await;
         }
-        tracing::info!(in_progress = self.shared.in_progress.get(), "stopped");
+        tracing::info!(in_progress = self.shared.in_progress.get(), "entry stopped");
     }
 }
 
-/// Accepts connections for as long as the entry lives.
+/// Accepts connections until the entry is dropped.
 fn accept<F, Fut>(shared: &Rc<GatewayShared>, listener: TcpListener, serve: F) -> io::Result<()>
 where
     F: Fn(Rc<GatewayShared>, TcpStream) -> Fut + 'static,
@@ -113,9 +121,9 @@
     spawn_accept(listener, move |stream| Some(serve(shared.upgrade()?, stream)))
 }
 
-async fn sweep(shared: Weak<GatewayShared>) {
+async fn expire(shared: Weak<GatewayShared>) {
     loop {
-        tokio::time::sleep(SWEEP_INTERVAL).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let now = Instant::now();
         shared.pool.borrow_mut().expire(now);
@@ -123,7 +131,7 @@
     }
 }
 
-async fn pump(shared: Weak<GatewayShared>) {
+async fn dispatch_periodically(shared: Weak<GatewayShared>) {
     loop {
         tokio::time::sleep(place::PUMP_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! State that the tasks of one entry share. All on one thread.
+//! State shared by the tasks of one entry, which all run on one thread.
 
 use crate::{
     dialect::{CallerDialect, RequestMetadata},
@@ -24,13 +24,13 @@
     time::Instant,
 };
 
-/// Counters of an entry.
+/// Metrics of an entry.
 pub(crate) struct GatewayMetrics {
-    pub(crate) refusals: IndexMap<&'static str, IntCounter>,
+    pub(crate) errors: IndexMap<&'static str, IntCounter>,
     pub(crate) retries: IndexMap<&'static str, IntCounter>,
     pub(crate) requests: IntCounter,
-    pub(crate) answered: IntCounter,
-    pub(crate) resumed: IntCounter,
+    pub(crate) responses_forwarded: IntCounter,
+    pub(crate) streams_resumed: IntCounter,
     pub(crate) callers_disconnected: IntCounter,
     pub(crate) connections_opened: IntCounter,
     pub(crate) config_version: IntGauge,
@@ -39,13 +39,13 @@
     pub(crate) wait_seconds: Histogram,
 }
 
-/// Why a request was sent again; each has a counter.
+/// Reasons for retrying a request, each with its own counter.
 const RETRY_REASONS: [&str; 5] =
     ["unreachable", "target-full", "other-target", "broken-answer", "no-answer"];
 
 impl GatewayMetrics {
     fn new(metrics: &DaemonMetrics) -> Self {
-        let refusal = |kind: RefusalKind| {
+        let error = |kind: RefusalKind| {
             let name = format!("egretseam_gateway_refused_{}_total", kind.slug().replace('-', "_"));
             (kind.slug(), metrics.counter(&name, "Requests refused or failed for this reason."))
         };
@@ -54,11 +54,12 @@
             (reason, metrics.counter(&name, "Requests sent again for this reason."))
         };
         Self {
-            refusals: RefusalKind::ALL.into_iter().map(refusal).collect(),
+            errors: RefusalKind::ALL.into_iter().map(error).collect(),
             retries: RETRY_REASONS.into_iter().map(retry).collect(),
             requests: metrics.counter("egretseam_gateway_requests_total", "Requests read."),
-            answered: metrics.counter("egretseam_gateway_answered_total", "Answers passed on."),
-            resumed: metrics
+            responses_forwarded: metrics
+                .counter("egretseam_gateway_answered_total", "Answers passed on."),
+            streams_resumed: metrics
                 .counter("egretseam_gateway_resumed_total", "Streams that went on elsewhere."),
             callers_disconnected: metrics
                 .counter("egretseam_gateway_callers_left_total", "Callers that left unanswered."),
@@ -81,8 +82,8 @@
         }
     }
 
-    pub(crate) fn count_refusal(&self, kind: RefusalKind) {
-        if let Some(counter) = self.refusals.get(kind.slug()) {
+    pub(crate) fn count_error(&self, kind: RefusalKind) {
+        if let Some(counter) = self.errors.get(kind.slug()) {
             counter.inc();
         }
     }
@@ -94,33 +95,36 @@
     }
 }
 
-/// How far the entry is with stopping.
+/// Phase of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum StopPhase {
-    /// Serving.
+    /// The entry is not stopping.
     Running,
-    /// Out of the directory; requests are still served, connections close after their answer.
+    /// The entry has left the directory; it serves requests and closes each connection after the
+    /// response.
     Leaving,
-    /// New requests are refused.
-    Refusing,
+    /// New requests are rejected.
+    Rejecting,
 }
 
 pub(crate) struct GatewayShared {
     pub(crate) options: GatewayOptions,
     pub(crate) dialect: Rc<dyn CallerDialect>,
     pub(crate) metrics: GatewayMetrics,
+    /// Random id of this process, to tell it from earlier ones of the same name.
     pub(crate) incarnation: u64,
-    /// The configuration in force, as differences are made of it.
+    /// The configuration in force, in the encoding on which differences are computed.
     pub(crate) config: RefCell<ConfigHolder>,
     routes: RefCell<Option<Rc<RouteTable>>>,
-    /// Wakes those who wait for the first configuration.
+    /// Wakes the tasks that wait for the first configuration.
     routes_available: Notify,
     pub(crate) places: RefCell<PlaceTable>,
     pub(crate) pool: RefCell<TargetPool>,
     pub(crate) retry_detector: RefCell<RetryDetector>,
     pub(crate) retry_budgets: RefCell<IndexMap<ServiceName, RetryBudget>>,
-    /// By source: the entries that a control member hears of.
+    /// Entries that each control member lists, by source number of the member.
     pub(crate) member_rosters: RefCell<IndexMap<u32, Vec<EntryRecord>>>,
+    /// Merged from [`Self::member_rosters`]; address lookups update this entry's own record in it.
     pub(crate) roster: RefCell<EntryRoster>,
     pub(crate) stop_phase: watch::Sender<StopPhase>,
     pub(crate) open_connections: Cell<usize>,
@@ -160,11 +164,11 @@
         self.routes_available.notify_waiters();
     }
 
-    /// Returns when there is a configuration.
+    /// Returns when a configuration is in force.
     pub(crate) async fn wait_for_routes(&self) {
-        let came = self.routes_available.notified();
+        let available = self.routes_available.notified();
         if self.routes.borrow().is_none() {
-            came.await;
+            available.await;
         }
     }
 
@@ -181,12 +185,12 @@
         *self.stop_phase.borrow()
     }
 
-    /// Whether callers may be sent here.
+    /// Whether callers may use this entry.
     pub(crate) fn is_ready(&self) -> bool {
         self.phase() == StopPhase::Running && self.routes.borrow().is_some()
     }
 
-    /// What this entry tells of itself.
+    /// The record that this entry reports to control.
     pub(crate) fn record(&self) -> EntryRecord {
         EntryRecord {
             name: self.options.name.clone(),
@@ -197,8 +201,8 @@
         }
     }
 
-    /// Takes in which entries a control member hears of; `None` if the member is lost. The word of
-    /// the last one stands, so that the directory outlives all of control.
+    /// Applies the list of entries from a control member; `None` if the member is lost. The list of
+    /// the last remaining member is kept, so that lookups still work while all of control is down.
     pub(crate) fn apply_roster(&self, source: u32, entries: Option<Vec<EntryRecord>>) {
         let mut rosters = self.member_rosters.borrow_mut();
         match entries {
@@ -220,26 +224,26 @@
         self.with_budget(service, |budget| budget.record_request(Instant::now()));
     }
 
-    /// How long a caller has been trying, by the time that it says it has left.
+    /// Estimates from the time that a caller has left how long it has been trying.
     pub(crate) fn time_spent_retrying(
         &self,
         route: &RouteRecord,
-        terms: &RequestMetadata,
+        metadata: &RequestMetadata,
     ) -> Duration {
         if !self.options.detects_retries {
             return Duration::ZERO;
         }
         let now = Instant::now();
-        let note = |left| self.retry_detector.borrow_mut().observe(&route.name, left, now);
-        terms.time_left.map_or(Duration::ZERO, note)
+        let observe = |left| self.retry_detector.borrow_mut().observe(&route.name, left, now);
+        metadata.time_left.map_or(Duration::ZERO, observe)
     }
 
-    /// Counts a caller that is asked to come back.
+    /// Counts a caller that was rejected and asked to retry.
     pub(crate) fn record_rejected(&self, route: &RouteRecord) {
         self.retry_detector.borrow_mut().record_rejected(&route.name, Instant::now());
     }
 
-    /// Takes one repeat out of a service's budget, if there is one.
+    /// Spends one retry of a service's budget. Returns whether the budget allowed it.
     pub(crate) fn spend_retry(&self, service: &ServiceName) -> bool {
         let entries = self.roster.borrow().iter().count();
         self.with_budget(service, |budget| budget.spend(entries, Instant::now()))
@@ -248,10 +252,10 @@
     fn with_budget<T>(
         &self,
         service: &ServiceName,
-        use_it: impl FnOnce(&mut RetryBudget) -> T,
+        operation: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut budgets = self.retry_budgets.borrow_mut();
         let create = || RetryBudget::new(self.options.retries);
-        use_it(budgets.entry(service.clone()).or_insert_with(create))
+        operation(budgets.entry(service.clone()).or_insert_with(create))
     }
 }
