--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet without gates on loopback: one control member, one entry and scripted targets, spoken to
-//! over real sockets as callers, targets and operators do.
+//! Tests of a fleet without gates on loopback: one control member, one entry and scripted targets.
+//! Callers, targets and operators are simulated over real sockets.
 
 mod answers;
 mod bed;
--- a/tests/all/fleet/bed.rs
+++ b/tests/all/fleet/bed.rs
@@ -1,4 +1,4 @@
-//! The fleet, its scripted targets, and a caller that sees raw answers.
+//! Test fixture: a fleet, scripted targets, and a caller that reads raw responses.
 
 mod caller;
 mod target;
@@ -24,14 +24,14 @@
 use tempfile::TempDir;
 use tokio::net::TcpStream;
 
-/// How long anything may take that is waited for; far above what it takes.
+/// Time limit of every wait, far above the time that any of them takes.
 pub(super) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// The key of the test organisation.
+/// API key of the test organisation.
 pub(super) const KEY: &str = "key-a";
 const POLL: Duration = Duration::from_millis(5);
 
-/// Each fleet gets hosts of its own in the loopback range, since the members of a fleet find each
-/// other at the same port of different hosts.
+/// Hosts in the loopback range that no other fleet uses. The members of a fleet need different
+/// hosts, since they reach each other at the same port.
 fn next_hosts() -> impl FnMut() -> IpAddr {
     static NEXT_FLEET: AtomicU16 = AtomicU16::new(0);
     let fleet = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
@@ -44,7 +44,7 @@
     }
 }
 
-/// The fleet.
+/// A fleet of one control member and one entry.
 pub(super) struct FleetBed {
     pub(super) entry: FleetRuntime,
     pub(super) control: Option<FleetRuntime>,
@@ -63,7 +63,7 @@
 }
 
 impl FleetBed {
-    /// Starts control and an entry and puts the usual configuration in force.
+    /// Starts control and an entry and applies the default configuration.
     pub(super) async fn start() -> Self {
         let mut next_host = next_hosts();
         let (core, edge) = (next_host(), next_host());
@@ -77,11 +77,11 @@
             link_mbps: 100.0,
             control_seeds: vec![at(core, 18_000)],
             founding: true,
-            // Targets of the bed announce themselves once, so none may count as silent.
+            // Scripted targets send one heartbeat only and must not count as silent.
             announce_interval: Duration::from_secs(600),
             tolerated_losses: 0,
             stop_limit: Duration::from_secs(8),
-            // No turns are waited for, so that tests end soon.
+            // Engines do not wait for their turn to load a version, so that tests are fast.
             version_limit: Duration::ZERO,
             retry_ratio: 0.2,
             retry_window: Duration::from_secs(10),
@@ -105,7 +105,8 @@
             }),
             ..settings
         };
-        let entry = FleetRuntime::start(entry_settings.clone(), &dialects()).expect("it starts");
+        let entry =
+            FleetRuntime::start(entry_settings.clone(), &dialects()).expect("the entry starts");
         let bed = Self {
             entry,
             control: Some(control),
@@ -119,12 +120,12 @@
         bed
     }
 
-    /// Calls control; retries while it cannot answer for sure.
+    /// Calls control; retries after connection errors and status 503.
     pub(super) async fn call(&self, method: &str, target: &str, body: &str) -> (u16, Bytes) {
         self.call_with(method, target, body.as_bytes()).await
     }
 
-    /// The same with a body that need not be text.
+    /// [`Self::call`] with a body of any bytes.
     pub(super) async fn call_with(&self, method: &str, target: &str, body: &[u8]) -> (u16, Bytes) {
         let call = CallRequest {
             method,
@@ -139,7 +140,10 @@
             let reply = exchange(self.control_address, &call).await;
             match reply {
                 Ok(reply) if reply.status != 503 => return (reply.status, reply.body),
-                _ => assert!(tokio::time::Instant::now() < deadline, "{target} is never answered"),
+                _ => assert!(
+                    tokio::time::Instant::now() < deadline,
+                    "no final response from {target}"
+                ),
             }
             tokio::time::sleep(POLL).await;
         }
@@ -150,13 +154,13 @@
         assert_eq!(status, 200, "version {version}: {body:?}");
     }
 
-    /// Waits until the entry serves by at least that version.
+    /// Waits until the entry has applied configuration `version` or a newer one.
     pub(super) async fn wait_for_version(&self, version: u64) {
         self.wait_until(|| self.entry.config_version() >= version).await;
     }
 
-    /// Reads a process's metrics again and again until they are as they should be.
-    pub(super) async fn wait_for_metrics(&self, host: IpAddr, are_right: impl Fn(&str) -> bool) {
+    /// Polls a process's metrics until `is_expected` accepts them.
+    pub(super) async fn wait_for_metrics(&self, host: IpAddr, is_expected: impl Fn(&str) -> bool) {
         let address = SocketAddr::new(host, self.settings.first_peer_port + 10);
         let call = CallRequest {
             method: "GET",
@@ -166,13 +170,13 @@
             limit: Duration::from_secs(5),
             max_body: 1 << 20,
         };
-        let right = async {
-            let is_right = |body: &Bytes| are_right(&String::from_utf8_lossy(body));
-            while !exchange(address, &call).await.is_ok_and(|reply| is_right(&reply.body)) {
+        let wait = async {
+            let matches = |body: &Bytes| is_expected(&String::from_utf8_lossy(body));
+            while !exchange(address, &call).await.is_ok_and(|reply| matches(&reply.body)) {
                 tokio::time::sleep(POLL).await;
             }
         };
-        tokio::time::timeout(WAIT_TIMEOUT, right).await.expect("the metrics become right");
+        tokio::time::timeout(WAIT_TIMEOUT, wait).await.expect("the metrics match in time");
     }
 
     pub(super) async fn wait_until(&self, done: impl Fn() -> bool) {
@@ -181,15 +185,15 @@
                 tokio::time::sleep(POLL).await;
             }
         };
-        tokio::time::timeout(WAIT_TIMEOUT, wait).await.expect("it happens in time");
+        tokio::time::timeout(WAIT_TIMEOUT, wait).await.expect("the condition holds in time");
     }
 
-    /// A host of this fleet that nobody uses yet.
+    /// A host of this fleet that is not in use yet.
     pub(super) fn unused_host(&mut self) -> IpAddr {
         (self.next_host)()
     }
 
-    /// Starts a target that is announced and known at the entry.
+    /// Starts a target, announces it and waits until the entry sends requests to it.
     pub(super) async fn start_target(&mut self, id: &str) -> Rc<ScriptedTarget> {
         let target = ScriptedTarget::start(self.unused_host(), id).await;
         self.announce(&target, "ready").await;
@@ -197,15 +201,16 @@
         target
     }
 
+    /// Sends a heartbeat of a target.
     pub(super) async fn announce(&self, target: &ScriptedTarget, state: &str) {
         target.sequence.set(target.sequence.get() + 1);
-        let beat = json!({
+        let heartbeat = json!({
             "service": "orders", "address": target.address.to_string(), "zone": "z1",
             "version": "v1", "slots": 6, "state": state, "coldLeftMs": 0,
             "seq": target.sequence.get()
         });
         let path = format!("/instances/{}/heartbeat", target.id);
-        let (status, _) = self.call("POST", &path, &beat.to_string()).await;
+        let (status, _) = self.call("POST", &path, &heartbeat.to_string()).await;
         assert_eq!(status, 200);
     }
 
@@ -214,13 +219,13 @@
     }
 
     pub(super) async fn connect_caller(&self) -> Caller {
-        let opened = TcpStream::connect(self.caller_address()).await;
+        let stream = TcpStream::connect(self.caller_address()).await;
         let options = ConnectionOptions::default();
-        let connection = HttpConnection::new(opened.expect("connected"), &options).expect("set up");
+        let connection = HttpConnection::new(stream.expect("connected"), &options).expect("set up");
         Caller { connection }
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a new connection and reads the response.
     pub(super) async fn send_request(&self, text: &str) -> Result<SeenAnswer, ReadError> {
         let mut caller = self.connect_caller().await;
         caller.send(text).await;
@@ -228,7 +233,7 @@
     }
 }
 
-/// Routes of all kinds to one service.
+/// A configuration with a route of each kind to one service.
 pub(super) fn default_config(version: u64) -> Value {
     let route = |name: &str, kind: &str| {
         json!({
--- a/tests/all/fleet/engines.rs
+++ b/tests/all/fleet/engines.rs
@@ -1,4 +1,4 @@
-//! Scripted engines and an origin, for what agents bring to them.
+//! Scripted engines and a scripted origin for tests of agents.
 
 use bytes::Bytes;
 use egretseam_h1::{BodyReader, ConnectionOptions, HeadWriter, HttpConnection, RequestHead};
@@ -12,32 +12,32 @@
     time::Duration,
 };
 
-/// Chunks of a version.
+/// Number of chunks of a version.
 pub(super) const CHUNKS: u32 = 12;
 
-/// A chunk that has turned bad.
+/// Bytes of a corrupted staged chunk.
 const CORRUPTED: &[u8] = b"rotten";
 
-/// The right bytes of a chunk.
+/// The intact bytes of a chunk.
 pub(super) fn chunk(version: u64, index: u32) -> Bytes {
     Bytes::from(format!("version {version} chunk {index} ").repeat(40))
 }
 
-type Answer = (u16, Bytes);
+type Response = (u16, Bytes);
 
 async fn serve(
     listener: tokio::net::TcpListener,
-    answer: impl AsyncFn(&RequestHead, Bytes) -> Answer + Clone + 'static,
+    respond: impl AsyncFn(&RequestHead, Bytes) -> Response + Clone + 'static,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        let answer = answer.clone();
+        let respond = respond.clone();
         actix_rt::spawn(async move {
             let options = ConnectionOptions::default();
             let mut connection = HttpConnection::new(stream, &options).expect("set up");
             while let Ok(Some(head)) = connection.read_request(16_384).await {
                 let reader = BodyReader::new(head.framing);
                 let Ok(body) = connection.read_body(reader, 1 << 20).await else { return };
-                let (status, body) = answer(&head, body).await;
+                let (status, body) = respond(&head, body).await;
                 let bytes = HeadWriter::response(status, b"Status").finish_with(&body);
                 if connection.write(&bytes).await.is_err() {
                     return;
@@ -51,25 +51,26 @@
     head.query(name)?.parse().ok()
 }
 
-/// The origin of weights.
+/// An origin of weights with scripted faults.
 #[derive(Default)]
 pub(super) struct ScriptedOrigin {
-    /// Chunks given.
+    /// Chunks sent.
     pub(super) chunks_sent: Cell<u32>,
-    /// How many of the next chunks are spoilt.
+    /// How many of the next chunks are sent corrupted.
     pub(super) chunks_to_corrupt: Cell<u32>,
-    /// Whether it gives nothing from this version on.
+    /// First version for which all requests fail with status 503.
     pub(super) unreachable_from: Cell<Option<u64>>,
-    /// How long a list of digests is on its way.
+    /// Delay of each digest list.
     pub(super) digest_list_delay: Cell<Duration>,
-    /// Lists of digests that it gave.
+    /// Digest lists sent.
     pub(super) digest_lists_sent: Cell<u32>,
-    /// How many of the next lists of digests are spoilt.
+    /// How many of the next digest lists are sent with a wrong digest.
     pub(super) digest_lists_to_corrupt: Cell<u32>,
-    /// Size of its chunks where they are larger than what engines expect.
+    /// Minimum size of chunks; smaller ones are padded, unlike the chunks that engines expect.
     pub(super) min_chunk_bytes: Cell<usize>,
 }
 
+/// Counts down to zero. Returns whether the count was above zero.
 fn decrement(count: &Cell<u32>) -> bool {
     let left = count.get();
     count.set(left.saturating_sub(1));
@@ -83,12 +84,12 @@
         let origin = Rc::new(Self::default());
         let serving = origin.clone();
         actix_rt::spawn(serve(listener, async move |head: &RequestHead, _| {
-            serving.answer(head).await
+            serving.respond(head).await
         }));
         (origin, address)
     }
 
-    async fn answer(&self, head: &RequestHead) -> Answer {
+    async fn respond(&self, head: &RequestHead) -> Response {
         let version = number(head, "version").unwrap_or(1);
         let wants_list = head.path().starts_with("/manifest/");
         if self.unreachable_from.get().is_some_and(|first| version >= first) {
@@ -124,34 +125,35 @@
     }
 }
 
-/// An engine that takes whatever is staged, and remembers whether it was right.
+/// An engine that loads whatever is staged, and records whether that was complete and intact.
 #[derive(Default)]
 pub(super) struct ScriptedEngine {
     staged: RefCell<BTreeMap<u64, Bytes>>,
-    /// Version that it holds; 0 for none.
+    /// Loaded version; 0 for none.
     pub(super) version: Cell<u64>,
-    /// Orders with anything but the whole version staged.
+    /// Orders executed while the staged version was incomplete or corrupted.
     pub(super) invalid_loads: Cell<u32>,
-    /// Modes of the orders.
+    /// Modes of the executed orders.
     pub(super) order_modes: RefCell<Vec<String>>,
-    /// Answers that run. Once a version is staged whole, one ends with each look at the engine.
+    /// Running requests. Once the next version is completely staged, each poll of the engine ends
+    /// one.
     pub(super) running_requests: Cell<u32>,
-    /// Answers that orders cut off.
+    /// Requests that were cut off by orders.
     pub(super) cut_off_requests: Cell<u32>,
-    /// How many of the next staged chunks turn bad where they lie.
+    /// How many of the next chunks are corrupted once they are staged.
     pub(super) staged_chunks_to_corrupt: Cell<u32>,
-    /// Orders begun.
+    /// Orders that the engine began to execute.
     orders_begun: Cell<u64>,
-    /// Highest fencing token of an order that was not refused.
+    /// Fencing token of the last accepted order that had one.
     fence: Cell<u64>,
-    /// Whether it takes orders with a lower one all the same.
+    /// Whether orders with a lower fencing token are accepted.
     pub(super) ignores_tokens: Cell<bool>,
-    /// How many of the next orders get no answer, and are kept until they are carried out late.
+    /// How many of the next orders get no response and are withheld until they are executed late.
     pub(super) orders_to_withhold: Cell<u32>,
     withheld_orders: RefCell<Vec<Bytes>>,
-    /// What became of its orders, a line each, for whoever looks for the cause of a failure.
+    /// Outcome of each order, one line each, to diagnose failed tests.
     history: RefCell<Vec<String>>,
-    /// Whether they are carried out as soon as a chunk in the middle is staged.
+    /// Whether withheld orders are executed when the middle chunk of a version is staged.
     pub(super) executes_while_staging: Cell<bool>,
 }
 
@@ -164,7 +166,7 @@
         (engine, address)
     }
 
-    /// Answers from now on.
+    /// Serves requests on `listener`.
     pub(super) fn serve_at(self: &Rc<Self>, listener: tokio::net::TcpListener) {
         let serving = self.clone();
         actix_rt::spawn(serve(listener, async move |head: &RequestHead, body| {
@@ -174,61 +176,61 @@
                 serving.withheld_orders.borrow_mut().push(body);
                 return std::future::pending().await;
             }
-            serving.answer(head, body)
+            serving.respond(head, body)
         }));
     }
 
-    /// Orders that got no answer and are not carried out yet.
+    /// Orders that got no response and have not been executed yet.
     pub(super) fn withheld_order_count(&self) -> usize {
         self.withheld_orders.borrow().len()
     }
 
-    /// Stages the first half of a version, as an agent does that is killed meanwhile.
+    /// Stages the first half of a version, like an agent that is killed while it stages.
     pub(super) fn stage_half(&self, version: u64) {
         let chunks = (0..CHUNKS / 2).map(|index| (u64::from(index), chunk(version, index)));
         self.staged.borrow_mut().extend(chunks);
     }
 
-    /// Spoils a staged chunk where it lies.
+    /// Corrupts a staged chunk.
     pub(super) fn corrupt_staged(&self, index: u64) {
         self.staged.borrow_mut().insert(index, Bytes::from_static(CORRUPTED));
     }
 
-    /// Whether it is still spoilt.
+    /// Whether a staged chunk is still corrupted.
     pub(super) fn is_corrupted(&self, index: u64) -> bool {
         self.staged.borrow().get(&index).is_some_and(|bytes| bytes == CORRUPTED)
     }
 
-    /// Starts again: it holds nothing, counts anew, and what was on its way to it is gone.
+    /// Restarts the engine: nothing is loaded, the counts start anew, and withheld orders are lost.
     pub(super) fn restart(&self) {
-        self.history.borrow_mut().push("started again".to_owned());
+        self.history.borrow_mut().push("restarted".to_owned());
         self.version.set(0);
         self.orders_begun.set(0);
         self.fence.set(0);
         self.withheld_orders.borrow_mut().clear();
     }
 
-    /// Carries out what was withheld, as it would now.
+    /// Executes the withheld orders against the present state.
     pub(super) fn execute_withheld(&self) {
         for order in self.withheld_orders.take() {
-            self.record(&order, "carried out late");
+            self.record(&order, "executed late");
             self.handle_order(&order);
         }
     }
 
-    /// Stages a whole version.
+    /// Stages a complete version.
     pub(super) fn stage(&self, version: u64) {
         let chunks = (0..CHUNKS).map(|index| (u64::from(index), chunk(version, index)));
         self.staged.borrow_mut().extend(chunks);
     }
 
-    fn answer(&self, head: &RequestHead, body: Bytes) -> Answer {
+    fn respond(&self, head: &RequestHead, body: Bytes) -> Response {
         let index = number(head, "num").unwrap_or(u64::MAX);
         match (&head.method[..], head.path()) {
             (b"GET", "/report") => {
-                let held = json!([{"name": "chat", "version": self.version.get()}]);
-                let models = if self.version.get() == 0 { json!([]) } else { held };
-                if self.holds_staged(self.version.get() + 1) {
+                let loaded = json!([{"name": "chat", "version": self.version.get()}]);
+                let models = if self.version.get() == 0 { json!([]) } else { loaded };
+                if self.has_staged(self.version.get() + 1) {
                     self.running_requests.set(self.running_requests.get().saturating_sub(1));
                 }
                 let active = self.running_requests.get();
@@ -239,12 +241,12 @@
                 (200, Bytes::from(report.to_string()))
             }
             (b"PUT", "/stage-put/chat") => {
-                let kept = if decrement(&self.staged_chunks_to_corrupt) {
+                let staged = if decrement(&self.staged_chunks_to_corrupt) {
                     Bytes::from_static(CORRUPTED)
                 } else {
                     body
                 };
-                self.staged.borrow_mut().insert(index, kept);
+                self.staged.borrow_mut().insert(index, staged);
                 if self.executes_while_staging.get() && index == u64::from(CHUNKS / 2) {
                     self.execute_withheld();
                 }
@@ -259,7 +261,7 @@
         }
     }
 
-    fn holds_staged(&self, version: u64) -> bool {
+    fn has_staged(&self, version: u64) -> bool {
         let staged = self.staged.borrow();
         (0..CHUNKS).all(|index| {
             staged.get(&u64::from(index)).is_some_and(|bytes| *bytes == chunk(version, index))
@@ -268,24 +270,24 @@
 
     fn record(&self, order: &[u8], outcome: &str) {
         let order = String::from_utf8_lossy(order);
-        let (begun, held) = (self.orders_begun.get(), self.version.get());
-        let line = format!("{order} {outcome}; begun {begun}, held {held}");
+        let (begun, loaded) = (self.orders_begun.get(), self.version.get());
+        let line = format!("{order} {outcome}; orders begun {begun}, loaded version {loaded}");
         self.history.borrow_mut().push(line);
     }
 
-    /// What became of its orders.
+    /// Outcome of each order, one line each.
     pub(super) fn history(&self) -> String {
         self.history.borrow().join("\n")
     }
 
-    fn handle_order(&self, body: &[u8]) -> Answer {
-        let answer = self.apply_order(body);
-        let whole = if self.invalid_loads.get() > 0 { ", not whole once" } else { "" };
-        self.record(body, &format!("{}{whole}", answer.0));
-        answer
+    fn handle_order(&self, body: &[u8]) -> Response {
+        let response = self.apply_order(body);
+        let invalid = if self.invalid_loads.get() > 0 { ", invalid load so far" } else { "" };
+        self.record(body, &format!("{}{invalid}", response.0));
+        response
     }
 
-    fn apply_order(&self, body: &[u8]) -> Answer {
+    fn apply_order(&self, body: &[u8]) -> Response {
         let order: serde_json::Value = serde_json::from_slice(body).expect("JSON");
         let version = order["version"].as_u64().expect("a version");
         let begun = self.orders_begun.get();
@@ -302,7 +304,7 @@
         }
         self.orders_begun.set(begun + 1);
         self.cut_off_requests.set(self.cut_off_requests.get() + self.running_requests.replace(0));
-        if !self.holds_staged(version) {
+        if !self.has_staged(version) {
             self.invalid_loads.set(self.invalid_loads.get() + 1);
         }
         self.order_modes.borrow_mut().push(order["mode"].as_str().unwrap_or_default().to_owned());
