--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/error_response.rs
@@ -1,46 +1,46 @@
-//! Answers of our own: why a request was not served, and whether it may have run.
+//! Error responses of the entry itself: why a request was not served, and whether it may have run.
 
 use bytes::Bytes;
 use egretseam_h1::HeadWriter;
 use egretseam_proto::RequestVerdict;
 use std::time::Duration;
 
-/// Why a request ends without its target's answer.
+/// Why a request ends without a complete response from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RefusalKind {
+pub(crate) enum ErrorKind {
     /// This entry has no configuration yet.
     NoConfig,
-    /// No route applies.
+    /// No route matches the request.
     NoRoute,
-    /// The route needs a key.
+    /// The route requires an API key and the request has none.
     MissingKey,
-    /// Nobody holds the key.
+    /// The API key belongs to no organisation.
     UnknownKey,
-    /// The request is not proper HTTP.
+    /// The request is not valid HTTP.
     Malformed,
-    /// The head is too large.
+    /// The head exceeds its size limit.
     HeadTooLarge,
-    /// The body is too large.
+    /// The body exceeds its size limit.
     BodyTooLarge,
-    /// The caller took too long to send its request.
+    /// The caller did not send its complete request in time.
     SlowCaller,
-    /// Every place is taken, and the wait would be too long.
+    /// All slots are occupied, and the wait would be or was too long.
     Full,
-    /// No target of the service can take the request.
+    /// No target of the service can run the request.
     NoTarget,
-    /// Targets refused it, and it may not be sent to another.
+    /// No target ran the request, and it may not be sent to another.
     TargetsRefused,
-    /// The time is over, and it was never sent.
+    /// The deadline passed before the request was sent to a target.
     ExpiredUnsent,
     /// The entry is stopping.
     Stopping,
-    /// The time is over while a target was at work.
+    /// An attempt timed out or the deadline passed, and a target may have run the request.
     Expired,
-    /// The target's answer was lost or broken, and the request may not be sent again.
+    /// The target's response was lost or broken, and the request may not be sent again.
     BrokenAnswer,
 }
 
-impl RefusalKind {
+impl ErrorKind {
     /// All kinds, for metrics.
     pub(crate) const ALL: [Self; 15] = [
         Self::NoConfig,
@@ -60,7 +60,7 @@
         Self::BrokenAnswer,
     ];
 
-    /// Name in logs and metrics.
+    /// The name in logs, metrics and the body of the response.
     pub(crate) fn slug(self) -> &'static str {
         match self {
             Self::NoConfig => "no-config",
@@ -83,8 +83,8 @@
 
     /// Status and reason phrase.
     ///
-    /// 408, 421, 429 and 503 promise callers that the request has not run and never will; every
-    /// other status promises nothing. So 502 and 504 stand wherever a target may be at work.
+    /// 408, 421, 429 and 503 guarantee callers that the request has not run and never will; no
+    /// other status guarantees anything. So 502 and 504 are sent where a target may be running it.
     fn status(self) -> (u16, &'static str) {
         match self {
             Self::NoRoute => (404, "Not Found"),
@@ -104,8 +104,9 @@
         }
     }
 
-    /// Whether the connection cannot be read any further after it.
-    fn ends_connection(self) -> bool {
+    /// Whether the caller's connection must be closed after the response, because nothing more can
+    /// be read from it or the entry is stopping.
+    fn closes_connection(self) -> bool {
         matches!(
             self,
             Self::Malformed
@@ -116,7 +117,7 @@
         )
     }
 
-    /// Whether the request certainly has not run.
+    /// Whether the request may have run or certainly has not.
     pub(crate) fn verdict(self) -> RequestVerdict {
         match self {
             Self::Expired | Self::BrokenAnswer => RequestVerdict::MayHaveRun,
@@ -125,37 +126,37 @@
     }
 }
 
-/// An answer of our own.
+/// An error response of the entry itself.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Refusal {
-    pub(crate) kind: RefusalKind,
-    /// When the caller should come back, where that helps.
+pub(crate) struct ErrorResponse {
+    pub(crate) kind: ErrorKind,
+    /// Delay after which the caller should retry, where a retry helps.
     pub(crate) retry_after: Option<Duration>,
 }
 
-impl Refusal {
-    pub(crate) fn new(kind: RefusalKind) -> Self {
+impl ErrorResponse {
+    pub(crate) fn new(kind: ErrorKind) -> Self {
         Self { kind, retry_after: None }
     }
 
-    pub(crate) fn later(kind: RefusalKind, retry_after: Duration) -> Self {
+    pub(crate) fn with_retry_after(kind: ErrorKind, retry_after: Duration) -> Self {
         Self { kind, retry_after: Some(retry_after) }
     }
 
-    /// Whether the connection must be closed after it.
-    pub(crate) fn ends_connection(&self) -> bool {
-        self.kind.ends_connection()
+    /// Whether the caller's connection must be closed after the response.
+    pub(crate) fn closes_connection(&self) -> bool {
+        self.kind.closes_connection()
     }
 
-    /// The whole answer.
-    pub(crate) fn write(&self, close: bool) -> Bytes {
-        let (status, phrase) = self.kind.status();
-        let mut head = HeadWriter::response(status, phrase.as_bytes());
+    /// Head and body of the response. `close` announces that the connection will be closed.
+    pub(crate) fn encode(&self, close: bool) -> Bytes {
+        let (status, reason) = self.kind.status();
+        let mut head = HeadWriter::response(status, reason.as_bytes());
         head.text("Content-Type", "text/plain");
         if let Some(after) = self.retry_after {
             head.text("Retry-After", &format!("{:.2}", after.as_secs_f64()));
         }
-        if close || self.ends_connection() {
+        if close || self.closes_connection() {
             head.text("Connection", "close");
         }
         head.finish_with(self.kind.slug().as_bytes())
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -4,7 +4,7 @@
 //! member is lost, the others still report the targets. If all members are lost, the entry keeps
 //! its state and continues to serve with it.
 
-use crate::{place, shared::GatewayShared};
+use crate::{dispatch, shared::GatewayShared};
 use egretseam_delta::PackedDocument;
 use egretseam_rpc::{FeedCall, FeedLink, FeedReader, FeedReply, FeedRoster, LinkOptions};
 use egretseam_serving::RouteTable;
@@ -195,7 +195,7 @@
         if self.failures == LOST_AFTER_FAILURES {
             let member = self.link.address();
             tracing::warn!(member, %error, "control member lost: consecutive feed calls failed");
-            shared.places.borrow_mut().targets.source_lost(self.source);
+            shared.dispatch.borrow_mut().targets.source_lost(self.source);
             shared.apply_roster(self.source, None);
             // When the member replies again, its complete state is requested.
             self.position = FeedPosition::default();
@@ -209,24 +209,24 @@
         self.failures = 0;
         let now = Instant::now();
         {
-            let mut places = shared.places.borrow_mut();
+            let mut dispatch = shared.dispatch.borrow_mut();
             if self.position.incarnation != reply.run && self.position.incarnation != 0 {
-                places.targets.source_restarted(self.source, now);
+                dispatch.targets.source_restarted(self.source, now);
             }
             for id in &reply.gone {
-                places.targets.remove_target(id, now);
+                dispatch.targets.remove_target(id, now);
             }
             for status in &reply.targets {
                 log_target(status);
-                places.targets.apply_target(self.source, status, now);
+                dispatch.targets.apply_target(self.source, status, now);
             }
             for status in &reply.engines {
-                places.targets.apply_engine(status, now);
+                dispatch.targets.apply_engine(status, now);
             }
         }
         for id in &reply.gone {
             tracing::info!(target_id = %id, "target removed");
-            shared.pool.borrow_mut().forget(id);
+            shared.pool.borrow_mut().remove_target(id);
         }
         let has_changes = !reply.targets.is_empty() || !reply.engines.is_empty();
         if let Some(roster) = reply.roster {
@@ -241,7 +241,7 @@
         // member has been applied by then.
         self.position.config_version = reply.config_version;
         if has_changes {
-            place::pump_all(shared);
+            dispatch::dispatch_all(shared);
         }
     }
 
@@ -251,9 +251,9 @@
             self.followed.record_listed(member);
         }
         {
-            let mut places = shared.places.borrow_mut();
+            let mut dispatch = shared.dispatch.borrow_mut();
             for published in &roster.versions {
-                places.targets.apply_version(published, shared.options.staleness_bound, now);
+                dispatch.targets.apply_version(published, shared.options.staleness_bound, now);
             }
         }
         shared.apply_roster(self.source, Some(roster.entries));
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`GatewayRuntime`] owns the listeners and tasks of one process, all on one thread. `caller`
 //! serves a caller's connection, `forward` one request (it decides after each attempt whether the
 //! request may be retried) and `attempt` one attempt; `relay` forwards a stream's events as they
-//! arrive. `place` holds the tables of [`egretseam_serving`] and the requests that wait for a
+//! arrive. `dispatch` holds the tables of [`egretseam_serving`] and the requests that wait for a
 //! slot; `follow` updates the tables from the feeds of all control members; `loads` updates them
 //! from load datagrams; `directory` replies to callers' lookups of entry addresses.
 //! [`CallerDialect`] defines header names and message formats.
@@ -13,14 +13,14 @@
 mod caller;
 mod dialect;
 mod directory;
+mod dispatch;
+mod error_response;
 mod events;
 mod follow;
 mod forward;
 mod loads;
 mod options;
-mod place;
 mod pool;
-mod refusal;
 mod relay;
 mod request;
 mod runtime;
@@ -28,7 +28,7 @@
 
 pub use crate::{
     dialect::{CallerDialect, LookupQuery, RequestMetadata, ResponseMetadata, TargetRequest},
-    events::{EventBuffer, event_id},
+    events::{EventBuffer, last_event_id},
     options::{GatewayListeners, GatewayOptions},
     runtime::{GatewayRuntime, StartError},
 };
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -3,9 +3,8 @@
 use crate::{
     caller,
     dialect::CallerDialect,
-    directory, follow, loads,
+    directory, dispatch, follow, loads,
     options::{GatewayListeners, GatewayOptions},
-    place,
     shared::{GatewayShared, StopPhase},
 };
 use egretseam_h1::spawn_accept;
@@ -75,7 +74,7 @@
 
     /// Whether the latest known incarnation of the target `id` accepts requests.
     pub fn is_target_ready(&self, id: &str) -> bool {
-        self.shared.places.borrow().targets.is_ready(id)
+        self.shared.dispatch.borrow().targets.is_ready(id)
     }
 
     /// Stops without interrupting requests. First the entry leaves the directory and still serves
@@ -127,16 +126,16 @@
         let Some(shared) = shared.upgrade() else { return };
         let now = Instant::now();
         shared.pool.borrow_mut().expire(now);
-        shared.places.borrow_mut().targets.expire(now);
+        shared.dispatch.borrow_mut().targets.expire(now);
     }
 }
 
 async fn dispatch_periodically(shared: Weak<GatewayShared>) {
     loop {
-        tokio::time::sleep(place::PUMP_INTERVAL).await;
+        tokio::time::sleep(dispatch::DISPATCH_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
-        if shared.places.borrow().has_waiters() {
-            place::pump_all(&shared);
+        if shared.dispatch.borrow().has_waiters() {
+            dispatch::dispatch_all(&shared);
         }
     }
 }
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -2,10 +2,10 @@
 
 use crate::{
     dialect::{CallerDialect, RequestMetadata},
+    dispatch::DispatchState,
+    error_response::ErrorKind,
     options::GatewayOptions,
-    place::PlaceTable,
-    pool::TargetPool,
-    refusal::RefusalKind,
+    pool::ConnectionPool,
 };
 use egretseam_http::DaemonMetrics;
 use egretseam_proto::ServiceName;
@@ -45,7 +45,7 @@
 
 impl GatewayMetrics {
     fn new(metrics: &DaemonMetrics) -> Self {
-        let error = |kind: RefusalKind| {
+        let error = |kind: ErrorKind| {
             let name = format!("egretseam_gateway_refused_{}_total", kind.slug().replace('-', "_"));
             (kind.slug(), metrics.counter(&name, "Requests refused or failed for this reason."))
         };
@@ -54,7 +54,7 @@
             (reason, metrics.counter(&name, "Requests sent again for this reason."))
         };
         Self {
-            errors: RefusalKind::ALL.into_iter().map(error).collect(),
+            errors: ErrorKind::ALL.into_iter().map(error).collect(),
             retries: RETRY_REASONS.into_iter().map(retry).collect(),
             requests: metrics.counter("egretseam_gateway_requests_total", "Requests read."),
             responses_forwarded: metrics
@@ -82,7 +82,7 @@
         }
     }
 
-    pub(crate) fn count_error(&self, kind: RefusalKind) {
+    pub(crate) fn count_error(&self, kind: ErrorKind) {
         if let Some(counter) = self.errors.get(kind.slug()) {
             counter.inc();
         }
@@ -118,8 +118,8 @@
     routes: RefCell<Option<Rc<RouteTable>>>,
     /// Wakes the tasks that wait for the first configuration.
     routes_available: Notify,
-    pub(crate) places: RefCell<PlaceTable>,
-    pub(crate) pool: RefCell<TargetPool>,
+    pub(crate) dispatch: RefCell<DispatchState>,
+    pub(crate) pool: RefCell<ConnectionPool>,
     pub(crate) retry_detector: RefCell<RetryDetector>,
     pub(crate) retry_budgets: RefCell<IndexMap<ServiceName, RetryBudget>>,
     /// Entries that each control member lists, by source number of the member.
@@ -137,7 +137,7 @@
         dialect: Rc<dyn CallerDialect>,
         metrics: &DaemonMetrics,
     ) -> Self {
-        let places = PlaceTable::new(options.placement, options.zone.clone(), options.waiting);
+        let dispatch = DispatchState::new(options.placement, options.zone.clone(), options.waiting);
         Self {
             dialect,
             metrics: GatewayMetrics::new(metrics),
@@ -145,7 +145,7 @@
             config: RefCell::default(),
             routes: RefCell::new(None),
             routes_available: Notify::new(),
-            places: RefCell::new(places),
+            dispatch: RefCell::new(dispatch),
             pool: RefCell::default(),
             retry_detector: RefCell::new(RetryDetector::new(options.waiting.min_retry_after)),
             retry_budgets: RefCell::default(),
@@ -215,7 +215,7 @@
             None => {}
         }
         let roster = EntryRoster::merged(rosters.values(), Instant::now());
-        self.places.borrow_mut().targets.set_entry_count(roster.ready_count());
+        self.dispatch.borrow_mut().targets.set_entry_count(roster.ready_count());
         *self.roster.borrow_mut() = roster;
     }
 
