--- a/tests/all/fleet/answers.rs
+++ b/tests/all/fleet/answers.rs
@@ -13,8 +13,10 @@
     let target = bed.start_target("i-1").await;
     let fields =
         "X-Tenant: forged\r\nX-Target-Instance: forged\r\nConnection: X-Hop\r\nX-Hop: 1\r\n";
-    let response =
-        bed.send_request(&request("/once/1?q=2", "r1", fields, "body")).await.expect("a complete response");
+    let response = bed
+        .send_request(&request("/once/1?q=2", "r1", fields, "body"))
+        .await
+        .expect("a complete response");
     assert_eq!((response.status, response.body.as_str()), (200, "r1 by i-1"));
     assert_eq!(response.signature.as_deref(), Some("i-1"));
     let arrival = target.arrivals.borrow()[0].clone();
@@ -75,13 +77,15 @@
     let mut bed = FleetBed::start().await;
     let one = bed.start_target("i-1").await;
     one.then(Script::Full);
-    let response = bed.send_request(&request("/once/1", "r1", "", "")).await.expect("a complete response");
+    let response =
+        bed.send_request(&request("/once/1", "r1", "", "")).await.expect("a complete response");
     assert_eq!(response.status, 503, "there is no other target");
     assert!(response.retry_after.is_some_and(|after| after > 0.0));
     let two = bed.start_target("i-2").await;
     one.then(Script::Misdirected);
     two.then(Script::Misdirected);
-    let response = bed.send_request(&request("/once/1", "r2", "", "")).await.expect("a complete response");
+    let response =
+        bed.send_request(&request("/once/1", "r2", "", "")).await.expect("a complete response");
     assert_eq!(response.status, 503);
     assert_eq!(two.arrived() + one.arrived(), 3);
 }
@@ -91,7 +95,8 @@
     let mut bed = FleetBed::start().await;
     let target = bed.start_target("i-1").await;
     target.then(Script::Fail);
-    let response = bed.send_request(&request("/once/1", "r1", "", "")).await.expect("a complete response");
+    let response =
+        bed.send_request(&request("/once/1", "r1", "", "")).await.expect("a complete response");
     assert_eq!((response.status, response.body.as_str()), (500, "failed"));
     assert_eq!(response.signature.as_deref(), Some("i-1"));
 }
@@ -114,8 +119,10 @@
     // Targets are chosen at random: with six requests, one run in 64 never reached the first one.
     let resumed = || two.arrivals.borrow().iter().any(|a| a.last_event.as_deref() == Some("5"));
     for _ in 0..64 {
-        let response =
-            bed.send_request(&request("/stream/1", "r2", "", "")).await.expect("a complete response");
+        let response = bed
+            .send_request(&request("/stream/1", "r2", "", ""))
+            .await
+            .expect("a complete response");
         assert_eq!(response.body, events(1..=EVENTS));
         if resumed() {
             break;
@@ -184,7 +191,11 @@
     let target = bed.start_target("i-1").await;
     target.then(Script::Hang);
     let text = request("/once/1", "r1", "", "").replace("Ms: 5000", "Ms: 300");
-    assert_eq!(bed.send_request(&text).await.expect("a complete response").status, 504, "it may have run");
+    assert_eq!(
+        bed.send_request(&text).await.expect("a complete response").status,
+        504,
+        "it may have run"
+    );
 }
 
 #[actix_rt::test]
@@ -203,7 +214,11 @@
         (431, valid.replace("Host:", &format!("X-Long: {}\r\nHost:", "a".repeat(20_000)))),
     ];
     for (status, text) in cases {
-        assert_eq!(bed.send_request(&text).await.expect("a complete response").status, status, "{text:.80}");
+        assert_eq!(
+            bed.send_request(&text).await.expect("a complete response").status,
+            status,
+            "{text:.80}"
+        );
     }
     assert_eq!(target.arrived(), 0);
 }
--- a/tests/all/fleet/placing.rs
+++ b/tests/all/fleet/placing.rs
@@ -22,7 +22,8 @@
     assert_eq!(bed.call("POST", "/instances/i-2/deregister", "").await.0, 200);
     bed.wait_until(|| !bed.entry.knows_target("i-2")).await;
     bed.announce(&two, "ready").await;
-    let response = bed.send_request(&request("/once/1", "r11", "", "")).await.expect("a complete response");
+    let response =
+        bed.send_request(&request("/once/1", "r11", "", "")).await.expect("a complete response");
     assert_eq!(response.status, 503);
     assert_eq!(two.arrived(), 10);
 }
