--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -68,7 +68,7 @@
         readable = waiting => readable,
         // A stopping entry closes its idle connections. A request sent at that moment is not read;
         // callers can tell from the close that it has not run.
-        _ = stop.wait_for(|phase| *phase == StopPhase::Refusing) => return ConnectionAction::Close,
+        _ = stop.wait_for(|phase| *phase == StopPhase::Rejecting) => return ConnectionAction::Close,
     };
     if !matches!(readable, Ok(Ok(true))) {
         return ConnectionAction::Close;
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -100,7 +100,7 @@
     body: Bytes,
     received_at: Instant,
 ) -> Result<RequestState, ErrorResponse> {
-    if shared.phase() >= StopPhase::Refusing {
+    if shared.phase() >= StopPhase::Rejecting {
         return Err(ErrorResponse::with_retry_after(ErrorKind::Stopping, RETRY_AFTER_STOPPING));
     }
     let routes = shared.routes().ok_or_else(|| {
@@ -359,7 +359,7 @@
     match outcome {
         RelayOutcome::Complete(action) => {
             slot.finish(AttemptOutcome::Answered);
-            shared.metrics.answered.inc();
+            shared.metrics.responses_forwarded.inc();
             Ok(action)
         }
         RelayOutcome::ErrorStatus(action) => {
@@ -450,7 +450,7 @@
     keep_alive: bool,
     id: &str,
 ) -> ConnectionAction {
-    shared.metrics.count_refusal(error.kind);
+    shared.metrics.count_error(error.kind);
     tracing::info!(
         request_id = id,
         reason = error.kind.slug(),
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -119,7 +119,7 @@
     let mut buffer = EventBuffer::default();
     let keep_alive = keeps_connection(shared, request);
     if request.response_started {
-        shared.metrics.resumed.inc();
+        shared.metrics.streams_resumed.inc();
     }
     loop {
         let chunk = match next_chunk(caller, request, &mut reader, &mut response).await {
