--- a/crates/registrar/src/dialect.rs
+++ b/crates/registrar/src/dialect.rs
@@ -1,4 +1,5 @@
-//! What targets and operators speak, behind a trait: names and formats only.
+//! Requests of targets and operators and the responses to them, behind a trait: it knows names and
+//! formats only.
 
 use bytes::Bytes;
 use egretseam_h1::RequestHead;
@@ -6,23 +7,23 @@
 use egretseam_serving::{Incarnation, RawServing, TargetRecord};
 use thiserror::Error;
 
-/// A call from outside.
+/// An HTTP request of a target or an operator.
 #[derive(Clone, Debug)]
 pub enum ControlRequest {
     /// A target announces itself.
     Announce(TargetRecord),
     /// A target leaves.
     Leave {
-        /// The name that it goes by.
+        /// Name of the target.
         name: String,
-        /// Which run under that name; `None` if it does not say.
+        /// Incarnation that leaves; `None` if the request does not state it.
         incarnation: Option<Incarnation>,
     },
     /// An operator replaces the serving configuration.
     ReplaceConfig(Box<RawServing>),
-    /// An operator reads it.
+    /// An operator reads the serving configuration.
     ReadConfig,
-    /// An operator names a version of a model.
+    /// An operator publishes a version of a model.
     PublishVersion {
         /// The model.
         model: ModelName,
@@ -31,39 +32,39 @@
     },
 }
 
-/// A call that cannot be understood.
+/// Why a request cannot be parsed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
-    /// No such call.
+    /// No request has this path and method.
     #[error("no such call")]
     Unknown,
-    /// The body cannot be read.
+    /// The body, or the target's name in the path, is malformed.
     #[error("the body cannot be read: {0}")]
     Malformed(String),
 }
 
-/// The answer to a call.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlResponse {
-    /// Done.
+    /// Done. Also for a stale announcement, which is ignored.
     Done,
-    /// The configuration, as it was accepted.
+    /// The serving configuration, byte for byte as it was accepted.
     Config(Bytes),
-    /// There is none.
+    /// There is no serving configuration yet.
     NoConfig,
-    /// The call breaks a rule, for good.
+    /// The request is invalid and must not be retried unchanged.
     Invalid(String),
-    /// No such call.
+    /// No request has this path and method.
     Unknown,
-    /// The call is larger than any proper one.
+    /// The body exceeds the limit.
     TooLarge,
-    /// Not done, or nobody knows; may be sent again, best to another member.
+    /// Not done, or the outcome is unknown; may be retried, preferably at another member.
     Unavailable(&'static str),
 }
 
-/// What targets and operators speak.
+/// Parses the requests of targets and operators, and encodes the responses.
 pub trait ControlDialect {
-    /// Reads a call.
+    /// Parses a request.
     ///
     /// # Errors
     /// See [`RequestError`].
@@ -72,11 +73,11 @@
         head: &RequestHead,
         body: &[u8],
     ) -> Result<ControlRequest, RequestError>;
-    /// Reads a configuration as an operator sent it.
+    /// Parses a configuration as an operator sent it.
     ///
     /// # Errors
-    /// Says what cannot be read.
+    /// Says what cannot be parsed.
     fn parse_config(&self, content: &[u8]) -> Result<RawServing, String>;
-    /// Status, reason phrase and body of an answer.
-    fn encode_response(&self, reply: &ControlResponse) -> (u16, &'static str, Bytes);
+    /// Status, reason phrase and body of a response.
+    fn encode_response(&self, response: &ControlResponse) -> (u16, &'static str, Bytes);
 }
--- a/crates/registrar/src/feed.rs
+++ b/crates/registrar/src/feed.rs
@@ -1,4 +1,4 @@
-//! Answers readers of this member's feed.
+//! Serves this member's feed to entries, agents and other members.
 
 use crate::{contents, shared::RegistrarShared};
 use egretseam_delta::PackedDocument;
@@ -12,10 +12,10 @@
 use tarpc::context::Context;
 use tokio::time::Instant;
 
-/// Longest wait for news that a reader may ask for.
-const MAX_WAIT: Duration = Duration::from_secs(10);
+/// Longest wait for a change that a reader may ask for.
+const MAX_LONG_POLL_WAIT: Duration = Duration::from_secs(10);
 
-/// Answers feeds.
+/// Answers the calls of feed readers.
 #[derive(Clone)]
 pub(crate) struct FeedHandler {
     shared: Rc<RegistrarShared>,
@@ -26,13 +26,13 @@
         Self { shared }
     }
 
-    /// Waits until `has_news` or the wait is over.
-    async fn wait_for(&self, wait_millis: u64, has_news: impl Fn(&RegistrarShared) -> bool) {
-        let wait = Duration::from_millis(wait_millis).min(MAX_WAIT);
-        let mut news = self.shared.news.subscribe();
+    /// Waits until `has_changed` holds or `wait_millis` have passed.
+    async fn wait_for(&self, wait_millis: u64, has_changed: impl Fn(&RegistrarShared) -> bool) {
+        let wait = Duration::from_millis(wait_millis).min(MAX_LONG_POLL_WAIT);
+        let mut signal = self.shared.change_signal.subscribe();
         let changed = async {
-            while !has_news(&self.shared) {
-                if news.changed().await.is_err() {
+            while !has_changed(&self.shared) {
+                if signal.changed().await.is_err() {
                     return;
                 }
             }
@@ -40,11 +40,16 @@
         tokio::time::timeout(wait, changed).await.ok();
     }
 
-    fn note_reader(&self, reader: &FeedReader) {
+    fn apply_reader(&self, reader: &FeedReader) {
         let FeedReader::Entry(record) = reader else { return };
         let changed = self.shared.entries.borrow_mut().apply(record.clone(), Instant::now());
         if changed {
-            tracing::info!(entry = %record.name, ready = record.ready, run = record.run, "entry changed");
+            tracing::info!(
+                entry = %record.name,
+                ready = record.ready,
+                run = record.run,
+                "entry changed"
+            );
             self.shared.roster_batcher.borrow_mut().record_change(Instant::now());
         }
     }
@@ -52,9 +57,9 @@
 
 impl FeedService for FeedHandler {
     async fn feed(self, _: Context, call: FeedCall) -> FeedReply {
-        self.note_reader(&call.reader);
-        let targets_seen = if call.run == self.shared.run { call.targets_seen } else { 0 };
-        let roster_seen = if call.run == self.shared.run || call.roster_seen == u64::MAX {
+        self.apply_reader(&call.reader);
+        let targets_seen = if call.run == self.shared.incarnation { call.targets_seen } else { 0 };
+        let roster_seen = if call.run == self.shared.incarnation || call.roster_seen == u64::MAX {
             call.roster_seen
         } else {
             0
@@ -66,15 +71,15 @@
                 || config > call.config_held
         })
         .await;
-        self.note_reader(&call.reader);
-        reply(&self.shared, &call, targets_seen, roster_seen)
+        self.apply_reader(&call.reader);
+        feed_reply(&self.shared, &call, targets_seen, roster_seen)
     }
 
     async fn agent(self, _: Context, call: AgentCall) -> AgentReply {
         if let Some(engine) = &call.engine {
-            let news =
+            let changed =
                 self.shared.registry.borrow_mut().apply_engine(engine.clone(), Instant::now());
-            if news {
+            if changed {
                 tracing::info!(
                     target = %engine.address,
                     models = ?engine.models,
@@ -84,15 +89,15 @@
                 self.shared.publish();
             }
         }
-        let is_same_run = call.run == self.shared.run;
-        let seen = if is_same_run { (call.seen, call.peers_seen) } else { (0, 0) };
+        let is_same_incarnation = call.run == self.shared.incarnation;
+        let seen = if is_same_incarnation { (call.seen, call.peers_seen) } else { (0, 0) };
         let numbers = |shared: &RegistrarShared| shared.plans.borrow().numbers(&call.service);
         self.wait_for(call.wait_millis, |shared| numbers(shared) != seen).await;
         agent_reply(&self.shared, &call.service, seen)
     }
 
     async fn note_content(self, _: Context, key: WeightsKey, digest: ContentDigest) -> bool {
-        contents::note(&self.shared, key, digest).await
+        contents::record(&self.shared, key, digest).await
     }
 
     async fn version_of(self, _: Context, model: ModelName, digest: ContentDigest) -> Option<u64> {
@@ -109,7 +114,7 @@
     let (seen, peers_number) = plans.numbers(service);
     let newer = plans.plan(service).filter(|_| seen != plan_seen);
     AgentReply {
-        run: shared.run,
+        run: shared.incarnation,
         seen,
         plan: newer.map(|plan| with_age(shared, plan)),
         peers_seen: peers_number,
@@ -118,14 +123,14 @@
     }
 }
 
-/// A plan with the age that its version has now.
+/// The plan with the current age of its version.
 fn with_age(shared: &RegistrarShared, plan: &WeightsPlan) -> WeightsPlan {
     let mut plan = plan.clone();
     let versions = shared.versions.borrow();
-    if let Some(named) = &mut plan.version
-        && let Some((_, since)) = versions.get(&named.model)
+    if let Some(published) = &mut plan.version
+        && let Some((_, learned_at)) = versions.get(&published.model)
     {
-        named.age_millis = since.elapsed().as_millis() as u64;
+        published.age_millis = learned_at.elapsed().as_millis() as u64;
     }
     plan
 }
@@ -134,7 +139,7 @@
     shared.applied.borrow().as_ref().map_or(0, |config| config.version)
 }
 
-fn reply(
+fn feed_reply(
     shared: &RegistrarShared,
     call: &FeedCall,
     targets_seen: u64,
@@ -144,7 +149,7 @@
     let registry = shared.registry.borrow();
     let roster_number = shared.roster_number.get();
     FeedReply {
-        run: shared.run,
+        run: shared.incarnation,
         targets_seen: registry.change_number(),
         targets: registry.targets_since(targets_seen, now),
         gone: registry.gone_since(targets_seen),
@@ -155,7 +160,7 @@
     }
 }
 
-/// The configuration for a reader, if there is a newer one and it is wanted.
+/// The configuration for a reader that holds an older one and asked for it.
 fn config_for(shared: &RegistrarShared, call: &FeedCall) -> Option<PackedDocument> {
     let documents = shared.documents.borrow();
     if documents.version() <= call.config_held {
@@ -168,23 +173,24 @@
     };
     let packed = packed?;
     let metrics = &shared.metrics;
-    let sent = if packed.is_whole() { &metrics.configs_whole } else { &metrics.configs_difference };
-    sent.inc();
+    let counter =
+        if packed.is_whole() { &metrics.configs_whole } else { &metrics.configs_difference };
+    counter.inc();
     Some(packed)
 }
 
 fn roster(shared: &RegistrarShared, number: u64, now: Instant) -> FeedRoster {
     let entries = shared.entries.borrow();
     let versions = shared.versions.borrow();
-    let named = versions.iter().map(|(model, (version, since))| PublishedVersion {
+    let published = versions.iter().map(|(model, (version, learned_at))| PublishedVersion {
         model: model.clone(),
         version: *version,
-        age_millis: now.saturating_duration_since(*since).as_millis() as u64,
+        age_millis: now.saturating_duration_since(*learned_at).as_millis() as u64,
     });
     FeedRoster {
         number,
-        entries: entries.iter().map(|sighting| sighting.record.clone()).collect(),
+        entries: entries.iter().map(|entry| entry.record.clone()).collect(),
         members: shared.members.borrow().clone(),
-        versions: named.collect(),
+        versions: published.collect(),
     }
 }
--- a/crates/registrar/src/front.rs
+++ b/crates/registrar/src/front.rs
@@ -1,4 +1,4 @@
-//! The calls of targets and operators over HTTP.
+//! Serves the HTTP requests of targets and operators.
 
 use crate::{
     dialect::{ControlRequest, ControlResponse, RequestError},
@@ -16,87 +16,96 @@
 use std::{io, rc::Rc, time::Duration};
 use tokio::{net::TcpStream, time::Instant};
 
-/// Largest head of a call.
-const MAX_HEAD: usize = 16 * 1024;
+/// Largest head of a request.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Largest body: a configuration of thousands of routes has a few MiB.
-const MAX_BODY: usize = 16 * 1024 * 1024;
-/// How long a connection may be idle.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
-/// How long a body may take.
-const BODY_LIMIT: Duration = Duration::from_secs(5);
-/// How long a change may wait for its quorum: a little less than the second after which operators
-/// go on to another member.
-pub(crate) const COMMIT_LIMIT: Duration = Duration::from_millis(900);
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
+/// How long a connection may take to send the head of its next request.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout for receiving a body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a change may wait for its quorum: slightly less than the second after which operators
+/// fail over to another member.
+pub(crate) const COMMIT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Serves a connection to its end.
+/// Serves a connection until it is closed.
 pub(crate) async fn serve(shared: Rc<RegistrarShared>, stream: TcpStream) {
     let Ok(mut connection) = HttpConnection::new(stream, &ConnectionOptions::default()) else {
         return;
     };
     loop {
-        let read = connection.read_request(MAX_HEAD);
-        let Ok(Ok(Some(head))) = tokio::time::timeout(IDLE_LIMIT, read).await else { return };
+        let read = connection.read_request(MAX_HEAD_BYTES);
+        let Ok(Ok(Some(head))) = tokio::time::timeout(IDLE_TIMEOUT, read).await else { return };
         let reader = BodyReader::new(head.framing);
-        let read = connection.read_body(reader, MAX_BODY);
-        let body = match tokio::time::timeout(BODY_LIMIT, read).await {
+        let read = connection.read_body(reader, MAX_BODY_BYTES);
+        let body = match tokio::time::timeout(BODY_TIMEOUT, read).await {
             Ok(Ok(body)) => body,
             Ok(Err(ReadError::BodyTooLarge)) => {
-                tracing::info!(path = head.path(), limit = MAX_BODY, "a call is too large");
+                tracing::info!(
+                    path = head.path(),
+                    limit = MAX_BODY_BYTES,
+                    "rejected a request: the body is too large"
+                );
                 shared.metrics.refused_malformed.inc();
-                if write(&shared, &mut connection, &ControlResponse::TooLarge).await.is_ok() {
+                if write_response(&shared, &mut connection, &ControlResponse::TooLarge)
+                    .await
+                    .is_ok()
+                {
                     connection.close().await;
                 }
                 return;
             }
             Ok(Err(_)) | Err(_) => return,
         };
-        let reply = answer(&shared, &head, body).await;
-        if write(&shared, &mut connection, &reply).await.is_err() || !head.keeps_alive() {
+        let response = respond(&shared, &head, body).await;
+        if write_response(&shared, &mut connection, &response).await.is_err() || !head.keeps_alive()
+        {
             return;
         }
     }
 }
 
-async fn write(
+async fn write_response(
     shared: &RegistrarShared,
     connection: &mut HttpConnection,
-    reply: &ControlResponse,
+    response: &ControlResponse,
 ) -> io::Result<()> {
-    let (status, phrase, body) = shared.dialect.encode_response(reply);
+    let (status, phrase, body) = shared.dialect.encode_response(response);
     let mut writer = HeadWriter::response(status, phrase.as_bytes());
     writer.text("Content-Type", "application/json");
-    if *reply == ControlResponse::TooLarge {
+    if *response == ControlResponse::TooLarge {
         writer.text("Connection", "close");
     }
     connection.write(&writer.finish_with(&body)).await
 }
 
-async fn answer(shared: &Rc<RegistrarShared>, head: &RequestHead, body: Bytes) -> ControlResponse {
-    let call = match shared.dialect.parse_request(head, &body) {
-        Ok(call) => call,
+async fn respond(shared: &Rc<RegistrarShared>, head: &RequestHead, body: Bytes) -> ControlResponse {
+    let request = match shared.dialect.parse_request(head, &body) {
+        Ok(request) => request,
         Err(RequestError::Unknown) => return ControlResponse::Unknown,
-        Err(fault @ RequestError::Malformed(_)) => {
-            tracing::info!(path = head.path(), %fault, "a call was refused");
+        Err(error @ RequestError::Malformed(_)) => {
+            tracing::info!(path = head.path(), fault = %error, "rejected a malformed request");
             shared.metrics.refused_malformed.inc();
-            return ControlResponse::Invalid(fault.to_string());
+            return ControlResponse::Invalid(error.to_string());
         }
     };
-    match call {
+    match request {
         ControlRequest::Announce(record) => announce(shared, record),
         ControlRequest::Leave { name, incarnation } => leave(shared, name, incarnation),
-        ControlRequest::ReplaceConfig(raw) => replace(shared, *raw, &body).await,
-        ControlRequest::ReadConfig => read(shared).await,
+        ControlRequest::ReplaceConfig(raw) => replace_config(shared, *raw, &body).await,
+        ControlRequest::ReadConfig => read_config(shared).await,
         ControlRequest::PublishVersion { model, version } => {
-            tracing::info!(%model, version, "a version is named");
+            tracing::info!(%model, version, "publishing a version");
             submit(shared, CatalogCommand::NameVersion { model, version }).await
         }
     }
 }
 
-/// Failure guarded: a member that is cut off from the entries acknowledges that a target is
-/// draining, and nobody else ever hears of it. It shows as requests at a target that has left. A
-/// member whose feed no entry reads sends announcements elsewhere.
-fn isolation(shared: &RegistrarShared) -> Option<ControlResponse> {
+/// Rejects announcements while no entry reads this member's feed, so that they are retried at
+/// another member. Without this, a member partitioned from the entries would acknowledge that a
+/// target is draining, nobody else would learn of it, and entries would send requests to a target
+/// that has left.
+fn reject_if_isolated(shared: &RegistrarShared) -> Option<ControlResponse> {
     if shared.entries.borrow().iter().next().is_some() {
         return None;
     }
@@ -104,26 +113,33 @@
     Some(ControlResponse::Unavailable("no entry reads this member's feed"))
 }
 
-/// Refuses a target of a service that the configuration in force does not have. One that leaves is
-/// heard all the same, since its service may have been taken out before it.
-fn unknown_service(shared: &RegistrarShared, record: &TargetRecord) -> Option<ControlResponse> {
+/// Rejects a target of a service that the configuration in force does not have. A target that
+/// leaves is accepted nevertheless, since its service may have been removed before it.
+fn reject_unknown_service(
+    shared: &RegistrarShared,
+    record: &TargetRecord,
+) -> Option<ControlResponse> {
     let applied = shared.applied.borrow();
     let is_known =
         applied.as_ref().is_none_or(|config| config.services.contains_key(&record.service));
     if is_known || record.state != TargetState::Ready {
         return None;
     }
-    tracing::info!(target_id = %record.id, service = %record.service, "a target of an unknown service");
+    tracing::info!(
+        target_id = %record.id,
+        service = %record.service,
+        "rejected an announcement: unknown service"
+    );
     shared.metrics.refused_malformed.inc();
     Some(ControlResponse::Invalid(format!("unknown service {}", record.service)))
 }
 
 fn announce(shared: &RegistrarShared, record: TargetRecord) -> ControlResponse {
-    if let Some(refusal) = isolation(shared) {
-        return refusal;
+    if let Some(rejection) = reject_if_isolated(shared) {
+        return rejection;
     }
-    if let Some(refusal) = unknown_service(shared, &record) {
-        return refusal;
+    if let Some(rejection) = reject_unknown_service(shared, &record) {
+        return rejection;
     }
     let mut registry = shared.registry.borrow_mut();
     let before = registry.change_number();
@@ -134,14 +150,18 @@
     match outcome {
         AnnounceOutcome::Accepted => shared.metrics.announcements.inc(),
         AnnounceOutcome::Stale => {
-            tracing::info!(target_id = %id, sequence, "a stale announcement was ignored");
+            tracing::info!(target_id = %id, sequence, "ignored a stale announcement");
             shared.metrics.stale_announcements.inc();
         }
         AnnounceOutcome::Conflicting => {
-            tracing::info!(target_id = %id, sequence, "an announcement names another service or address");
+            tracing::info!(
+                target_id = %id,
+                sequence,
+                "rejected an announcement: the target has another service or address"
+            );
             shared.metrics.refused_malformed.inc();
-            let fault = "the target lives under another service or address";
-            return ControlResponse::Invalid(fault.to_owned());
+            let reason = "the target lives under another service or address";
+            return ControlResponse::Invalid(reason.to_owned());
         }
         AnnounceOutcome::Full => return ControlResponse::Unavailable("too many targets"),
     }
@@ -152,15 +172,15 @@
     ControlResponse::Done
 }
 
-/// Takes in that a target leaves. One that does not say which run it is means the latest that any
-/// member has heard of.
+/// Removes a target that leaves. A request that states no incarnation means the latest one that any
+/// member knows.
 fn leave(
     shared: &RegistrarShared,
     name: String,
     incarnation: Option<Incarnation>,
 ) -> ControlResponse {
-    if let Some(refusal) = isolation(shared) {
-        return refusal;
+    if let Some(rejection) = reject_if_isolated(shared) {
+        return rejection;
     }
     let mut registry = shared.registry.borrow_mut();
     let incarnation = incarnation.unwrap_or_else(|| {
@@ -176,57 +196,65 @@
     ControlResponse::Done
 }
 
-async fn replace(shared: &RegistrarShared, raw: RawServing, content: &[u8]) -> ControlResponse {
+async fn replace_config(
+    shared: &RegistrarShared,
+    raw: RawServing,
+    content: &[u8],
+) -> ControlResponse {
     let version = raw.version;
     if let Err(error) = ServingConfig::try_from(raw) {
-        tracing::info!(version, %error, "a configuration was refused");
+        tracing::info!(version, %error, "rejected an invalid configuration");
         shared.metrics.changes_invalid.inc();
         return ControlResponse::Invalid(error.to_string());
     }
-    let reply = submit_config(shared, version, content).await;
+    let response = submit_config(shared, version, content).await;
     tracing::info!(
         version,
-        acknowledged = reply == ControlResponse::Done,
-        "a configuration was sent"
+        acknowledged = response == ControlResponse::Done,
+        "submitted a configuration"
     );
-    reply
+    response
 }
 
-/// Sends the difference from the configuration that this member holds, and the whole if another one
-/// was accepted meanwhile.
+/// Submits the delta from the configuration that this member holds, and the full document if
+/// another configuration was committed in the meantime.
 ///
 /// Load pattern: every change of a long configuration goes to all members, most of them in other
-/// regions, and live answers wait behind it. For 1,700 routes a change of one of them takes 52 bytes in
-/// the log, the whole 5.4 KB, the text as sent 329 KB (`egretseam-bench slopes`).
+/// regions, and live responses queue behind it. With 1,700 routes, a change of one of them takes
+/// 52 bytes in the log, the full document 5.4 KB, and the text as sent 329 KB
+/// (`egretseam-bench slopes`).
 async fn submit_config(shared: &RegistrarShared, version: u64, content: &[u8]) -> ControlResponse {
-    let until = Instant::now() + COMMIT_LIMIT;
-    let difference = {
+    let deadline = Instant::now() + COMMIT_TIMEOUT;
+    let delta = {
         let state = shared.control.state();
         state.serving().map(|held| ServingChange::delta_from(held, version, content))
     };
-    if let Some(change) = difference {
+    if let Some(change) = delta {
         let bytes = change.content.size();
-        match try_submit(shared, CatalogCommand::ReplaceServing(change), COMMIT_LIMIT).await {
+        match try_submit(shared, CatalogCommand::ReplaceServing(change), COMMIT_TIMEOUT).await {
             Ok(CatalogReply::OtherBase) => {
                 tracing::info!(
                     version,
                     bytes,
-                    "another configuration came first; sending the whole"
+                    "another configuration was committed first; submitting the full document"
                 );
                 shared.metrics.changes_other_base.inc();
             }
-            outcome => return acknowledge(shared, outcome),
+            outcome => return outcome_response(shared, outcome),
         }
     }
     let change = ServingChange::full(version, content);
-    let left = until.saturating_duration_since(Instant::now());
-    acknowledge(shared, try_submit(shared, CatalogCommand::ReplaceServing(change), left).await)
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    outcome_response(
+        shared,
+        try_submit(shared, CatalogCommand::ReplaceServing(change), remaining).await,
+    )
 }
 
-/// Carries a change out through the log. Every such change may be sent again, so a lost outcome
-/// is told as "try again".
+/// Commits a change to the log. All such changes are idempotent, so after an unknown outcome the
+/// response asks for a retry.
 async fn submit(shared: &RegistrarShared, command: CatalogCommand) -> ControlResponse {
-    acknowledge(shared, try_submit(shared, command, COMMIT_LIMIT).await)
+    outcome_response(shared, try_submit(shared, command, COMMIT_TIMEOUT).await)
 }
 
 pub(crate) async fn try_submit(
@@ -237,13 +265,13 @@
     shared.client().submit(&command, limit).await
 }
 
-fn acknowledge(
+fn outcome_response(
     shared: &RegistrarShared,
     outcome: Result<CatalogReply, SubmitError>,
 ) -> ControlResponse {
     match outcome {
         Ok(CatalogReply::OtherBase) => {
-            tracing::warn!("a configuration could not be restored by the members");
+            tracing::warn!("control members failed to unpack a configuration");
             shared.metrics.changes_unavailable.inc();
             ControlResponse::Unavailable("the change could not be applied")
         }
@@ -252,14 +280,14 @@
             ControlResponse::Done
         }
         Err(error) => {
-            tracing::warn!(%error, "a change was not acknowledged");
+            tracing::warn!(%error, "a change was not acknowledged by the control members");
             shared.metrics.changes_unavailable.inc();
             ControlResponse::Unavailable("no quorum in time")
         }
     }
 }
 
-async fn read(shared: &RegistrarShared) -> ControlResponse {
+async fn read_config(shared: &RegistrarShared) -> ControlResponse {
     if shared.control.confirm().await.is_none() {
         shared.metrics.reads_unavailable.inc();
         return ControlResponse::Unavailable("the newest configuration cannot be confirmed");
--- a/crates/registrar/src/lib.rs
+++ b/crates/registrar/src/lib.rs
@@ -1,10 +1,11 @@
-//! Control of a fleet without gates: hears targets' announcements, takes operators' changes
-//! through the replicated log, and feeds both to entries, agents and the other members.
+//! A control member of fleets whose entries reach targets directly: receives the announcements of
+//! targets, commits the changes of operators to the replicated log, and serves both to entries,
+//! agents and the other members as a feed.
 //!
-//! What targets say is soft state: each member keeps what it was told in a
-//! [`egretseam_serving::TargetRegistry`] and passes it on at once; losing all members loses
-//! nothing that entries still hold. What operators say is durable: it is acknowledged after
-//! [`egretseam_control::ControlRuntime`] has it synced on a quorum.
+//! What targets announce is soft state: each member keeps the announcements that it receives in a
+//! [`egretseam_serving::TargetRegistry`] and forwards them at once; the loss of all members loses
+//! nothing that entries still hold. What operators change is durable: a change is acknowledged
+//! after [`egretseam_control::ControlRuntime`] has synced it to disk on a quorum.
 
 mod contents;
 mod dialect;
--- a/crates/registrar/src/loads.rs
+++ b/crates/registrar/src/loads.rs
@@ -1,6 +1,7 @@
-//! Passing on how busy targets are: agents' datagrams come in, and what changed goes out in one datagram
-//! to one entry of each availability zone, which passes it on to the others there. So neither agents nor
-//! entries speak to each other one by one, and a member's bytes grow with the zones, not the entries.
+//! Forwards the load of targets from agents to entries. Agents send datagrams; the samples
+//! received in an interval are sent in one datagram to one entry of each availability zone, which
+//! forwards it to the other entries there. So agents do not send to each entry, entries do not call
+//! each agent, and the bytes that a member sends grow with the number of zones, not of entries.
 
 use crate::shared::RegistrarShared;
 use egretseam_rpc::{BusyTarget, LoadDatagram, MAX_DATAGRAM, MAX_SAMPLES};
@@ -12,65 +13,69 @@
 };
 use tokio::{net::UdpSocket, time::Instant};
 
-/// How long samples are gathered. Adds to their age, and divides the number of datagrams.
-const GATHER: Duration = Duration::from_millis(50);
+/// How long samples are collected. Adds to their age, and reduces the number of datagrams.
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Rounds with one of which a member begins, at random; more than a zone has entries.
-const FIRST_ROUNDS: usize = 1_000;
+/// A member starts at a random round below this, which exceeds the number of entries in a zone.
+const INITIAL_ROUNDS: usize = 1_000;
 
-/// Passes samples on for as long as the registrar lives.
-pub(crate) async fn pass_on(shared: Weak<RegistrarShared>, socket: UdpSocket) {
-    let mut gathered: IndexMap<SocketAddr, u16> = IndexMap::new();
-    let mut due = Instant::now() + GATHER;
-    // Members begin with different entries.
-    let mut round: usize = rand::random_range(0..FIRST_ROUNDS);
+/// Forwards samples until the registrar is dropped.
+pub(crate) async fn forward(shared: Weak<RegistrarShared>, socket: UdpSocket) {
+    let mut collected: IndexMap<SocketAddr, u16> = IndexMap::new();
+    let mut next_send_at = Instant::now() + BATCH_INTERVAL;
+    // A random start lets members send to different entries of a zone.
+    let mut round: usize = rand::random_range(0..INITIAL_ROUNDS);
     let mut buffer = [0; MAX_DATAGRAM];
     loop {
-        let received = tokio::time::timeout_at(due, socket.recv_from(&mut buffer)).await;
+        let received = tokio::time::timeout_at(next_send_at, socket.recv_from(&mut buffer)).await;
         let Some(shared) = shared.upgrade() else { return };
         match received {
-            Ok(Ok((length, _))) => gather(&shared, &buffer[..length], &mut gathered),
+            Ok(Ok((length, _))) => collect_samples(&shared, &buffer[..length], &mut collected),
             Ok(Err(error)) => {
-                tracing::debug!(%error, "a datagram could not be received");
-                tokio::time::sleep(GATHER).await;
+                tracing::debug!(%error, "failed to receive a load datagram");
+                tokio::time::sleep(BATCH_INTERVAL).await;
             }
             Err(_) => {
-                due = Instant::now() + GATHER;
+                next_send_at = Instant::now() + BATCH_INTERVAL;
                 round = round.wrapping_add(1);
-                send(&shared, &socket, &mut gathered, round).await;
+                send(&shared, &socket, &mut collected, round).await;
             }
         }
     }
 }
 
-fn gather(shared: &RegistrarShared, bytes: &[u8], gathered: &mut IndexMap<SocketAddr, u16>) {
+fn collect_samples(
+    shared: &RegistrarShared,
+    bytes: &[u8],
+    collected: &mut IndexMap<SocketAddr, u16>,
+) {
     match LoadDatagram::decode(&shared.options.control.secret, bytes) {
         Some(datagram) => {
-            gathered.extend(datagram.samples.iter().map(|sample| (sample.address, sample.busy)));
+            collected.extend(datagram.samples.iter().map(|sample| (sample.address, sample.busy)));
         }
-        None => tracing::debug!("a datagram that is not ours was dropped"),
+        None => tracing::debug!("dropped a load datagram that is malformed or has a wrong tag"),
     }
 }
 
 async fn send(
     shared: &Rc<RegistrarShared>,
     socket: &UdpSocket,
-    gathered: &mut IndexMap<SocketAddr, u16>,
+    collected: &mut IndexMap<SocketAddr, u16>,
     round: usize,
 ) {
     let samples: Vec<BusyTarget> =
-        gathered.drain(..).map(|(address, busy)| BusyTarget { address, busy }).collect();
+        collected.drain(..).map(|(address, busy)| BusyTarget { address, busy }).collect();
     let entries: Vec<SocketAddr> = {
         let entries = shared.entries.borrow();
         let port = shared.options.load_port;
-        let at = |address: SocketAddr| SocketAddr::new(address.ip(), port);
-        entries.one_per_zone(round).map(|record| at(record.address)).collect()
+        let load_address = |address: SocketAddr| SocketAddr::new(address.ip(), port);
+        entries.one_per_zone(round).map(|record| load_address(record.address)).collect()
     };
-    for part in samples.chunks(MAX_SAMPLES) {
-        let bytes = LoadDatagram::encode(&shared.options.control.secret, true, part);
+    for batch in samples.chunks(MAX_SAMPLES) {
+        let bytes = LoadDatagram::encode(&shared.options.control.secret, true, batch);
         for entry in &entries {
             if let Err(error) = socket.send_to(&bytes, entry).await {
-                tracing::debug!(%entry, %error, "a datagram could not be sent");
+                tracing::debug!(%entry, %error, "failed to send a load datagram");
             }
         }
     }
--- a/crates/registrar/src/mirror.rs
+++ b/crates/registrar/src/mirror.rs
@@ -1,5 +1,5 @@
-//! What the other control members hear from targets, so that agents, which ask one member only,
-//! learn of all their peers.
+//! The targets that announce themselves to the other control members. An agent follows one member
+//! only, so each member has to know the peers that announce themselves elsewhere.
 
 use crate::shared::RegistrarShared;
 use egretseam_rpc::{FeedCall, FeedLink, FeedReader, FeedReply, LinkOptions};
@@ -10,109 +10,117 @@
     time::Duration,
 };
 
-/// How long a reading of another member's feed may wait.
-const READING_WAIT: Duration = Duration::from_millis(1_000);
-/// Pause after a reading failed.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(300);
-/// How often the list of members is compared with what is read.
-const MEMBERS_INTERVAL: Duration = Duration::from_millis(300);
+/// How long another member may hold a feed call until something changes.
+const LONG_POLL_WAIT: Duration = Duration::from_millis(1_000);
+/// Pause after a failed feed call.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Interval at which the mirrored members are compared with the list of members.
+const MEMBERS_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Targets by the member that hears of them.
+/// Targets by the member to which they announce themselves.
 #[derive(Debug, Default)]
 pub(crate) struct MirrorTable {
-    /// By member, then by the target's name.
+    /// By the member's feed address, then by the target's name.
     members: IndexMap<String, IndexMap<String, TargetStatus>>,
 }
 
 impl MirrorTable {
-    fn take(&mut self, member: &str, restarted: bool, reply: &FeedReply) {
+    fn apply(&mut self, member: &str, restarted: bool, reply: &FeedReply) {
         let targets = self.members.entry(member.to_owned()).or_default();
         if restarted {
             targets.clear();
         }
-        for news in &reply.targets {
-            targets.insert(news.record.id.name.clone(), news.clone());
+        for status in &reply.targets {
+            targets.insert(status.record.id.name.clone(), status.clone());
         }
         for id in &reply.gone {
-            let held = targets.get(&id.name).map(|news| news.record.id.incarnation);
+            let held = targets.get(&id.name).map(|status| status.record.id.incarnation);
             if held.is_some_and(|held| held <= id.incarnation) {
                 targets.shift_remove(&id.name);
             }
         }
     }
 
-    fn forget(&mut self, member: &str) {
+    fn remove(&mut self, member: &str) {
         self.members.shift_remove(member);
     }
 
-    /// The latest run under a name that some other member heard of.
+    /// The latest incarnation under a name that announced itself to another member.
     pub(crate) fn current(&self, name: &str) -> Option<&TargetId> {
-        let held = self.members.values().filter_map(|targets| targets.get(name));
-        held.map(|news| &news.record.id).max()
+        let statuses = self.members.values().filter_map(|targets| targets.get(name));
+        statuses.map(|status| &status.record.id).max()
     }
 
-    /// Live targets, by some other member's word.
+    /// Targets that another member does not report as silent.
     pub(crate) fn live(&self) -> impl Iterator<Item = &TargetRecord> {
-        let news = self.members.values().flat_map(IndexMap::values);
-        news.filter(|news| !news.silent).map(|news| &news.record)
+        let statuses = self.members.values().flat_map(IndexMap::values);
+        statuses.filter(|status| !status.silent).map(|status| &status.record)
     }
 }
 
-/// Reads the feeds of all other members.
+/// Mirrors the targets of all other members.
 pub(crate) async fn mirror_all(shared: Weak<RegistrarShared>) {
     let mut tasks: IndexMap<String, actix_rt::task::JoinHandle<()>> = IndexMap::new();
     loop {
         {
             let Some(shared) = shared.upgrade() else { return };
-            let own = &shared.options.feed_address;
+            let own_address = &shared.options.feed_address;
             let members = shared.members.borrow().clone();
             tasks.retain(|address, task| {
-                let named = members.contains(address);
-                if !named {
+                let is_member = members.contains(address);
+                if !is_member {
                     task.abort();
-                    shared.mirrors.borrow_mut().forget(address);
+                    shared.mirrors.borrow_mut().remove(address);
                 }
-                named
+                is_member
             });
-            for address in members.into_iter().filter(|address| address != own) {
-                let start = || actix_rt::spawn(mirror(Rc::downgrade(&shared), address.clone()));
-                tasks.entry(address.clone()).or_insert_with(start);
+            for address in members.into_iter().filter(|address| address != own_address) {
+                let spawn_mirror =
+                    || actix_rt::spawn(mirror(Rc::downgrade(&shared), address.clone()));
+                tasks.entry(address.clone()).or_insert_with(spawn_mirror);
             }
         }
-        tokio::time::sleep(MEMBERS_INTERVAL).await;
+        tokio::time::sleep(MEMBERS_CHECK_INTERVAL).await;
     }
 }
 
 async fn mirror(shared: Weak<RegistrarShared>, address: String) {
-    let Some(held) = shared.upgrade() else { return };
-    let link = FeedLink::new(&address, held.options.control.secret, LinkOptions::default());
-    drop(held);
-    let (mut run, mut targets_seen) = (0, 0);
+    let Some(state) = shared.upgrade() else { return };
+    let link = FeedLink::new(&address, state.options.control.secret, LinkOptions::default());
+    drop(state);
+    let (mut member_incarnation, mut targets_seen) = (0, 0);
     loop {
         let call = FeedCall {
             reader: FeedReader::Member,
-            run,
+            run: member_incarnation,
             targets_seen,
             roster_seen: u64::MAX,
             config_held: u64::MAX,
             config_wish: ConfigRequest::Number,
-            wait_millis: READING_WAIT.as_millis() as u64,
+            wait_millis: LONG_POLL_WAIT.as_millis() as u64,
         };
-        let reading = link.feed(call).await;
+        let result = link.feed(call).await;
         let Some(shared) = shared.upgrade() else { return };
-        match reading {
+        match result {
             Ok(reply) => {
-                shared.mirrors.borrow_mut().take(&address, run != reply.run, &reply);
-                run = reply.run;
+                shared.mirrors.borrow_mut().apply(
+                    &address,
+                    member_incarnation != reply.run,
+                    &reply,
+                );
+                member_incarnation = reply.run;
                 targets_seen = reply.targets_seen;
                 if !reply.targets.is_empty() || !reply.gone.is_empty() {
                     shared.publish();
                 }
             }
             Err(error) => {
-                tracing::debug!(member = %address, %error, "a member's feed cannot be read");
+                tracing::debug!(
+                    member = %address, %error,
+                    "failed to read the feed of another member"
+                );
                 drop(shared);
-                tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/registrar/src/options.rs
+++ b/crates/registrar/src/options.rs
@@ -8,32 +8,32 @@
     time::Duration,
 };
 
-/// Bound listeners of a registrar.
+/// Bound listeners and sockets of a registrar.
 #[derive(Debug)]
 pub struct RegistrarListeners {
-    /// For targets and operators.
+    /// HTTP requests of targets and operators.
     pub http: TcpListener,
-    /// For the other control members' log.
+    /// Log replication with the other control members.
     pub peers: TcpListener,
-    /// For feeds.
+    /// Feed calls of entries, agents and other members.
     pub feeds: TcpListener,
-    /// For agents' datagrams.
+    /// Load datagrams of agents.
     pub loads: UdpSocket,
 }
 
 /// Settings of a registrar.
 #[derive(Clone, Debug)]
 pub struct RegistrarOptions {
-    /// The control member.
+    /// Options of the control member.
     pub control: ControlOptions,
-    /// Where this member's feed is reached.
+    /// `host:port` of this member's feed.
     pub feed_address: String,
-    /// `host:port` of the feeds of members to begin with.
+    /// `host:port` of the feeds of seed members, used while the group's membership is unknown.
     pub feed_seeds: Rc<RefCell<Vec<String>>>,
-    /// Port at which every member's feed is reached, beside the log's port of the same host.
+    /// Port of every member's feed, on the same host as the member's log listener.
     pub feed_port: u16,
-    /// Port at which every entry is told how busy targets are.
+    /// UDP port at which every entry receives load datagrams.
     pub load_port: u16,
-    /// Time between two announcements of a target.
+    /// Interval between two announcements of a target.
     pub announce_interval: Duration,
 }
--- a/crates/registrar/src/plans.rs
+++ b/crates/registrar/src/plans.rs
@@ -1,7 +1,9 @@
-//! What the agents of each service are to bring to their engines, and with whom.
+//! Plans for the agents of each service: which weights their engines are to load, and with which
+//! peers the agents exchange chunks.
 //!
-//! Worked out when the configuration, a named version or the targets change, and not for each agent
-//! that waits: at 300 instances 60 agents wait at each member, and every change wakes all of them.
+//! Plans are computed when the configuration, a published version or the targets change, and not
+//! for each waiting agent: with 300 instances, 60 agents wait at each member, and every change
+//! wakes all of them.
 
 use crate::shared::RegistrarShared;
 use egretseam_proto::ServiceName;
@@ -11,29 +13,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Shortest time between two changes of the lists of peers. Targets that are added together come
-/// within a second or two; agents need to know of each other when chunks begin to flow, 0.5 s later.
-pub(crate) const PEERS_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum interval between two updates of the peer lists. Targets that are added together announce
+/// themselves within a second or two; their agents need to know each other when the first chunks
+/// are transferred, 0.5 s later.
+pub(crate) const MIN_PEERS_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Default)]
 struct PlanRow {
-    number: u64,
-    /// The age of its version is left open.
+    plan_number: u64,
+    /// The age of its version is set when the plan is sent.
     plan: Option<WeightsPlan>,
     peers: PeerList,
 }
 
-/// Plans by service.
+/// Plans and peer lists by service.
 #[derive(Debug, Default)]
 pub(crate) struct PlanTable {
     rows: IndexMap<ServiceName, PlanRow>,
-    peers_at: Option<Instant>,
+    peers_updated_at: Option<Instant>,
 }
 
 impl PlanTable {
-    /// Numbers of a service's plan and of its list of peers.
+    /// Numbers of the latest changes of a service's plan and of its peer list.
     pub(crate) fn numbers(&self, service: &ServiceName) -> (u64, u64) {
-        self.rows.get(service).map_or((0, 0), |row| (row.number, row.peers.change_number()))
+        self.rows.get(service).map_or((0, 0), |row| (row.plan_number, row.peers.change_number()))
     }
 
     /// A service's plan, if there is one.
@@ -41,7 +44,7 @@
         self.rows.get(service)?.plan.as_ref()
     }
 
-    /// What is new among a service's peers.
+    /// Updates of a service's peers for an agent whose latest change is `seen`.
     pub(crate) fn peers_since(&self, service: &ServiceName, seen: u64) -> Vec<PeerUpdate> {
         self.rows.get(service).map_or_else(Vec::new, |row| row.peers.updates_since(seen))
     }
@@ -49,54 +52,55 @@
     fn set_plan(&mut self, service: &ServiceName, plan: Option<WeightsPlan>) {
         let row = self.rows.entry(service.clone()).or_default();
         if row.plan != plan {
-            row.number += 1;
+            row.plan_number += 1;
             row.plan = plan;
         }
     }
 
     fn set_peers(&mut self, mut peers: IndexMap<ServiceName, PeerMap>, now: Instant) {
-        self.peers_at = Some(now);
+        self.peers_updated_at = Some(now);
         for (service, row) in &mut self.rows {
             row.peers.set(peers.swap_remove(service).unwrap_or_default());
         }
     }
 }
 
-/// Works the plans out anew after a change of the configuration or of a named version.
+/// Recomputes the plans after a change of the configuration or of a published version, and the
+/// peer lists with them.
 pub(crate) fn refresh_plans(shared: &RegistrarShared) {
     {
         let applied = shared.applied.borrow();
         let Some(config) = applied.as_ref() else { return };
         let mut plans = shared.plans.borrow_mut();
         for service in config.services.keys() {
-            plans.set_plan(service, plan(shared, config, service));
+            plans.set_plan(service, build_plan(shared, config, service));
         }
     }
     refresh_peers(shared, Instant::now());
 }
 
-/// Whether the lists of peers may be worked out anew.
+/// Whether the peer lists may be recomputed.
 pub(crate) fn are_peers_due(shared: &RegistrarShared, now: Instant) -> bool {
-    let last = shared.plans.borrow().peers_at;
-    last.is_none_or(|last| now.saturating_duration_since(last) >= PEERS_INTERVAL)
+    let updated_at = shared.plans.borrow().peers_updated_at;
+    updated_at.is_none_or(|at| now.saturating_duration_since(at) >= MIN_PEERS_INTERVAL)
 }
 
-/// Works the lists of peers out anew.
+/// Recomputes the peer lists.
 pub(crate) fn refresh_peers(shared: &RegistrarShared, now: Instant) {
     let registry = shared.registry.borrow();
     let mirrors = shared.mirrors.borrow();
     let mut peers: IndexMap<ServiceName, PeerMap> = IndexMap::new();
     for record in registry.live().chain(mirrors.live()) {
-        let of_service = peers.entry(record.service.clone()).or_default();
-        of_service.insert(record.address, record.zone.clone());
+        let service_peers = peers.entry(record.service.clone()).or_default();
+        service_peers.insert(record.address, record.zone.clone());
     }
-    for of_service in peers.values_mut() {
-        of_service.sort_unstable_keys();
+    for service_peers in peers.values_mut() {
+        service_peers.sort_unstable_keys();
     }
     shared.plans.borrow_mut().set_peers(peers, now);
 }
 
-fn plan(
+fn build_plan(
     shared: &RegistrarShared,
     config: &ServingConfig,
     service: &ServiceName,
@@ -115,14 +119,15 @@
         version,
         origin: origin.address,
         origin_zone: origin.zone.clone(),
-        may_cut: may_cut(config, service),
+        may_cut: allows_preemption(config, service),
     })
 }
 
-/// Whether all routes to a service allow its requests to go on at another target.
-fn may_cut(config: &ServingConfig, service: &ServiceName) -> bool {
-    let mut leading = config.routes.iter().filter(|route| {
+/// Whether engines of a service may cut off requests to load weights: all routes to the service
+/// allow their requests to be retried at another target.
+fn allows_preemption(config: &ServingConfig, service: &ServiceName) -> bool {
+    let mut service_routes = config.routes.iter().filter(|route| {
         route.destinations.iter().any(|destination| destination.service == *service)
     });
-    leading.all(|route| route.kind.may_retry() && route.max_attempts > 1)
+    service_routes.all(|route| route.kind.may_retry() && route.max_attempts > 1)
 }
--- a/crates/registrar/src/publish.rs
+++ b/crates/registrar/src/publish.rs
@@ -1,4 +1,4 @@
-//! Brings what the log has applied, and what time does to soft state, to the readers of the feed.
+//! Publishes to feed readers what the replicated log has applied, and which soft state has expired.
 
 use crate::{plans, shared::RegistrarShared};
 use bytes::Bytes;
@@ -9,24 +9,24 @@
 };
 use tokio::time::Instant;
 
-/// How often silent targets and entries are looked for.
+/// Interval of the checks for silent targets and entries.
 const EXPIRE_INTERVAL: Duration = Duration::from_millis(200);
-/// How often it is looked whether the roster is to be published.
-const ROSTER_INTERVAL: Duration = Duration::from_millis(50);
-/// How long an entry is listed after it last read this member's feed: twice the wait of a reading
-/// and some slack, so that one lost reading takes nobody out.
-const ENTRY_SILENCE: Duration = Duration::from_millis(2_300);
+/// Interval of the checks whether the roster is due to be published.
+const ROSTER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long an entry is listed after it last read this member's feed: twice the wait of a feed call
+/// plus a margin, so that a single lost call removes no entry.
+const ENTRY_SILENCE_LIMIT: Duration = Duration::from_millis(2_300);
 
-/// Watches the log's state.
+/// Applies configurations and published versions as the log commits them.
 pub(crate) async fn watch_log(shared: Weak<RegistrarShared>) {
-    let Some(held) = shared.upgrade() else { return };
-    let mut applied = held.control.applied();
-    drop(held);
+    let Some(state) = shared.upgrade() else { return };
+    let mut applied = state.control.applied();
+    drop(state);
     loop {
         {
             let Some(shared) = shared.upgrade() else { return };
-            take_config(&shared);
-            take_versions(&shared);
+            apply_config(&shared);
+            apply_versions(&shared);
         }
         if applied.changed().await.is_err() {
             return;
@@ -34,11 +34,12 @@
     }
 }
 
-fn take_config(shared: &Rc<RegistrarShared>) {
-    let held = shared.applied.borrow().as_ref().map_or(0, |config| config.version);
+fn apply_config(shared: &Rc<RegistrarShared>) {
+    let applied_version = shared.applied.borrow().as_ref().map_or(0, |config| config.version);
     let content = {
         let state = shared.control.state();
-        let Some(document) = state.serving().filter(|document| document.version > held) else {
+        let Some(document) = state.serving().filter(|document| document.version > applied_version)
+        else {
             return;
         };
         document.content.clone()
@@ -49,8 +50,8 @@
     let config = match checked {
         Ok(config) => config,
         Err(error) => {
-            // It was checked before it was proposed, so only a change of release can lead here.
-            tracing::error!(%error, "the accepted configuration cannot be read");
+            // It was validated before it was proposed, so only a different release can reject it.
+            tracing::error!(%error, "the committed configuration is invalid and was not applied");
             return;
         }
     };
@@ -63,9 +64,9 @@
     shared.publish();
 }
 
-fn take_versions(shared: &Rc<RegistrarShared>) {
+fn apply_versions(shared: &Rc<RegistrarShared>) {
     let now = Instant::now();
-    let mut news = false;
+    let mut changed = false;
     {
         let state = shared.control.state();
         let mut versions = shared.versions.borrow_mut();
@@ -73,21 +74,21 @@
             let known = versions.get(model).map(|(version, _)| *version);
             if known != Some(*version) {
                 versions.insert(model.clone(), (*version, now));
-                tracing::info!(%model, version, "a named version is to be brought to its targets");
-                news = true;
+                tracing::info!(%model, version, "applied a published version");
+                changed = true;
             }
         }
     }
-    if news {
+    if changed {
         plans::refresh_plans(shared);
         shared.publish_roster();
     }
 }
 
-/// Publishes the roster when changes of entries have been gathered.
-pub(crate) async fn pace_roster(shared: Weak<RegistrarShared>) {
+/// Publishes the roster whenever a batch of changes of entries is due.
+pub(crate) async fn publish_roster_batches(shared: Weak<RegistrarShared>) {
     loop {
-        tokio::time::sleep(ROSTER_INTERVAL).await;
+        tokio::time::sleep(ROSTER_CHECK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let is_due = shared.roster_batcher.borrow_mut().take_due(Instant::now());
         if is_due {
@@ -96,24 +97,25 @@
     }
 }
 
-/// Marks what has gone silent, and follows the group's membership.
+/// Marks silent targets, removes silent entries, and updates the list of members from the group's
+/// membership.
 pub(crate) async fn expire(shared: Weak<RegistrarShared>) {
     loop {
         tokio::time::sleep(EXPIRE_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let now = Instant::now();
         let expired = shared.registry.borrow_mut().expire(now);
-        if expired || shared.peers_changed.get() {
+        if expired || shared.peers_outdated.get() {
             shared.publish();
         }
-        let lost = shared.entries.borrow_mut().expire(ENTRY_SILENCE, now);
+        let removed = shared.entries.borrow_mut().expire(ENTRY_SILENCE_LIMIT, now);
         let members = known_members(&shared);
         let changed = *shared.members.borrow() != members;
         if changed {
             tracing::info!(?members, "control members changed");
             *shared.members.borrow_mut() = members;
         }
-        if lost || changed {
+        if removed || changed {
             shared.publish_roster();
         }
         shared.metrics.targets.set(shared.registry.borrow().live().count() as i64);
@@ -121,17 +123,18 @@
     }
 }
 
-/// Feed addresses of the group's members; of the seeds while the group is not known.
+/// Feed addresses of the group's members, or of the seeds while the membership is unknown.
 fn known_members(shared: &RegistrarShared) -> Vec<String> {
     let status = shared.control.status();
     let port = shared.options.feed_port;
-    let feed_of = |peer: &str| peer.rsplit_once(':').map(|(host, _)| format!("{host}:{port}"));
+    let feed_address = |peer: &str| peer.rsplit_once(':').map(|(host, _)| format!("{host}:{port}"));
     let members = status.iter().flat_map(|status| status.membership.members());
-    let mut known: Vec<String> = members.filter_map(|member| feed_of(&member.address)).collect();
-    if known.is_empty() {
-        known = shared.options.feed_seeds.borrow().clone();
+    let mut addresses: Vec<String> =
+        members.filter_map(|member| feed_address(&member.address)).collect();
+    if addresses.is_empty() {
+        addresses = shared.options.feed_seeds.borrow().clone();
     }
-    known.sort();
-    known.dedup();
-    known
+    addresses.sort();
+    addresses.dedup();
+    addresses
 }
--- a/crates/registrar/src/runtime.rs
+++ b/crates/registrar/src/runtime.rs
@@ -21,8 +21,8 @@
     /// The control member could not start.
     #[error(transparent)]
     Control(#[from] egretseam_control::StartError),
-    /// A listener cannot be used.
-    #[error("listener: {0}")]
+    /// A listener or socket could not be set up.
+    #[error("failed to set up a listener or socket: {0}")]
     Listener(#[from] io::Error),
 }
 
@@ -50,19 +50,21 @@
         let shared = Rc::new(RegistrarShared::new(options, dialect, handler, metrics));
         let feed = FeedHandler::new(shared.clone());
         let feeds = serve_feed(listeners.feeds, secret, RpcOptions::default(), feed)?;
-        let serving = Rc::downgrade(&shared);
-        spawn_accept(listeners.http, move |stream| Some(front::serve(serving.upgrade()?, stream)))?;
+        let weak_shared = Rc::downgrade(&shared);
+        spawn_accept(listeners.http, move |stream| {
+            Some(front::serve(weak_shared.upgrade()?, stream))
+        })?;
         actix_rt::spawn(publish::watch_log(Rc::downgrade(&shared)));
         actix_rt::spawn(publish::expire(Rc::downgrade(&shared)));
         actix_rt::spawn(mirror::mirror_all(Rc::downgrade(&shared)));
         listeners.loads.set_nonblocking(true)?;
-        let datagrams = tokio::net::UdpSocket::from_std(listeners.loads)?;
-        actix_rt::spawn(publish::pace_roster(Rc::downgrade(&shared)));
-        actix_rt::spawn(loads::pass_on(Rc::downgrade(&shared), datagrams));
+        let load_socket = tokio::net::UdpSocket::from_std(listeners.loads)?;
+        actix_rt::spawn(publish::publish_roster_batches(Rc::downgrade(&shared)));
+        actix_rt::spawn(loads::forward(Rc::downgrade(&shared), load_socket));
         Ok(Self { control, _feeds: feeds, _shared: shared })
     }
 
-    /// Hands leadership over and stops. What was acknowledged is on disk.
+    /// Transfers leadership and stops. Acknowledged changes are on disk.
     pub async fn stop(self) {
         self.control.stop().await;
     }
--- a/crates/registrar/src/shared.rs
+++ b/crates/registrar/src/shared.rs
@@ -1,4 +1,4 @@
-//! State that the tasks of one registrar share. All on one thread.
+//! State shared by the tasks of one registrar, which all run on one thread.
 
 use crate::{
     dialect::ControlDialect,
@@ -24,15 +24,16 @@
     time::Instant,
 };
 
-/// Announcements that may fail to come before a target counts as silent: two lost ones, and some
-/// seconds by which they may be late.
-const MISSED_ANNOUNCEMENTS: f64 = 2.9;
-/// How long a member answers within, so that callers do not move on while it works.
-const MEMBER_CALL_LIMIT: Duration = Duration::from_millis(700);
-/// How long a connection to a member may take.
-const MEMBER_CONNECT_LIMIT: Duration = Duration::from_millis(300);
+/// Announcement intervals after which a target without announcements counts as silent: two missed
+/// announcements, and a margin of some seconds for late ones.
+const SILENCE_LIMIT_INTERVALS: f64 = 2.9;
+/// Timeout of a call to a member; short enough that callers do not fail over to another member
+/// while the call is in progress.
+const MEMBER_CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout for connecting to a member.
+const MEMBER_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Counters of a registrar.
+/// Metrics of a registrar.
 pub(crate) struct RegistrarMetrics {
     pub(crate) announcements: IntCounter,
     pub(crate) stale_announcements: IntCounter,
@@ -96,28 +97,30 @@
     pub(crate) dialect: Rc<dyn ControlDialect>,
     pub(crate) control: ControlHandler,
     pub(crate) metrics: RegistrarMetrics,
-    pub(crate) run: u64,
+    /// Random number by which feed readers tell this process from an earlier one.
+    pub(crate) incarnation: u64,
     pub(crate) registry: RefCell<TargetRegistry>,
     pub(crate) mirrors: RefCell<MirrorTable>,
     pub(crate) entries: RefCell<EntryRoster>,
-    /// The configuration as applied at this member.
+    /// The serving configuration that this member has applied.
     pub(crate) applied: RefCell<Option<Rc<ServingConfig>>>,
-    /// The same as entries get it, encoded and packed once for all of them.
+    /// The same configuration as sent to entries, encoded and packed once for all of them.
     pub(crate) documents: RefCell<DocumentHistory>,
-    /// What agents are to bring to their engines.
+    /// Plans and peer lists for agents.
     pub(crate) plans: RefCell<PlanTable>,
-    /// Whether targets changed since the lists of peers were worked out.
-    pub(crate) peers_changed: Cell<bool>,
+    /// Whether targets may have changed since the peer lists were computed.
+    pub(crate) peers_outdated: Cell<bool>,
+    /// The published version of each model, and when this member learned of it.
     pub(crate) versions: RefCell<IndexMap<ModelName, (u64, Instant)>>,
-    /// Held while what a version is made of goes through the log.
-    pub(crate) contents_turn: Mutex<()>,
-    /// `host:port` of the feeds of all members, as far as known.
+    /// Held while the content digest of a version is committed to the log.
+    pub(crate) content_lock: Mutex<()>,
+    /// `host:port` of the feeds of all known members.
     pub(crate) members: RefCell<Vec<String>>,
     pub(crate) roster_number: Cell<u64>,
-    /// Gathers changes of the entries before the roster is published.
+    /// Collects changes of the entries before the roster is published.
     pub(crate) roster_batcher: RefCell<RosterBatcher>,
-    /// Grows with everything that a reader may wait for.
-    pub(crate) news: watch::Sender<u64>,
+    /// Incremented by every change that a reader may wait for.
+    pub(crate) change_signal: watch::Sender<u64>,
     client: RefCell<Option<(Vec<String>, Rc<ControlClient>)>>,
 }
 
@@ -128,71 +131,71 @@
         control: ControlHandler,
         metrics: &DaemonMetrics,
     ) -> Self {
-        let silence = options.announce_interval.mul_f64(MISSED_ANNOUNCEMENTS);
+        let silence_limit = options.announce_interval.mul_f64(SILENCE_LIMIT_INTERVALS);
         let members = options.feed_seeds.borrow().clone();
         Self {
             dialect,
             control,
             metrics: RegistrarMetrics::new(metrics),
-            run: rand::random(),
-            registry: RefCell::new(TargetRegistry::new(silence)),
+            incarnation: rand::random(),
+            registry: RefCell::new(TargetRegistry::new(silence_limit)),
             mirrors: RefCell::default(),
             entries: RefCell::default(),
             applied: RefCell::new(None),
             documents: RefCell::default(),
             plans: RefCell::default(),
-            peers_changed: Cell::new(false),
+            peers_outdated: Cell::new(false),
             versions: RefCell::default(),
-            contents_turn: Mutex::default(),
+            content_lock: Mutex::default(),
             members: RefCell::new(members),
             roster_number: Cell::new(1),
             roster_batcher: RefCell::default(),
-            news: watch::Sender::new(0),
+            change_signal: watch::Sender::new(0),
             client: RefCell::new(None),
             options,
         }
     }
 
-    /// Wakes everybody who waits for news.
+    /// Wakes all waiting readers, after recomputing the peer lists if that is due.
     pub(crate) fn publish(&self) {
         let now = Instant::now();
-        let due = plans::are_peers_due(self, now);
-        if due {
+        let peers_due = plans::are_peers_due(self, now);
+        if peers_due {
             plans::refresh_peers(self, now);
         }
-        self.peers_changed.set(!due);
-        self.news.send_modify(|number| *number += 1);
+        self.peers_outdated.set(!peers_due);
+        self.change_signal.send_modify(|number| *number += 1);
     }
 
-    /// Wakes everybody for a change of the roster.
+    /// Publishes a change of the roster.
     pub(crate) fn publish_roster(&self) {
         self.roster_number.set(self.roster_number.get() + 1);
         self.publish();
     }
 
-    /// A client of the whole group as this member knows it, its own listener first.
+    /// A client of all members of the group that this member knows, with its own listener first.
     pub(crate) fn client(&self) -> Rc<ControlClient> {
-        let own = self.options.control.peer_address.clone();
-        let mut addresses = vec![own];
+        let own_address = self.options.control.peer_address.clone();
+        let mut addresses = vec![own_address];
         let status = self.control.status();
         let members = status.iter().flat_map(|status| status.membership.members());
         addresses.extend(members.map(|member| member.address.clone()));
         let mut seen = indexmap::IndexSet::new();
         addresses.retain(|address| seen.insert(address.clone()));
-        let mut held = self.client.borrow_mut();
-        if let Some((known, client)) = held.as_ref()
-            && *known == addresses
+        let mut cached = self.client.borrow_mut();
+        if let Some((cached_addresses, client)) = cached.as_ref()
+            && *cached_addresses == addresses
         {
             return client.clone();
         }
         let options = LinkOptions {
-            connect_timeout: MEMBER_CONNECT_LIMIT,
-            call_timeout: MEMBER_CALL_LIMIT,
+            connect_timeout: MEMBER_CONNECT_TIMEOUT,
+            call_timeout: MEMBER_CALL_TIMEOUT,
             ..LinkOptions::default()
         };
         let secret = self.options.control.secret;
         let client = Rc::new(ControlClient::new(&addresses, secret, options, 0));
-        *held = Some((addresses, client.clone()));
+        *cached = Some((addresses, client.clone()));
         client
     }
 }
