--- a/crates/registrar/src/front.rs
+++ b/crates/registrar/src/front.rs
@@ -260,9 +260,9 @@
 pub(crate) async fn try_submit(
     shared: &RegistrarShared,
     command: CatalogCommand,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<CatalogReply, SubmitError> {
-    shared.client().submit(&command, limit).await
+    shared.client().submit(&command, timeout).await
 }
 
 fn outcome_response(
