--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -3,9 +3,8 @@
 use crate::{
     caller,
     dialect::CallerDialect,
-    directory, follow, loads,
+    directory, dispatch, follow, loads,
     options::{GatewayListeners, GatewayOptions},
-    place,
     shared::{GatewayShared, StopPhase},
 };
 use egretseam_h1::spawn_accept;
@@ -72,8 +71,8 @@
     }
 
     /// Whether a target of that identity takes requests, as far as this entry knows.
-    pub fn knows_target(&self, id: &str) -> bool {
-        self.shared.places.borrow().targets.is_ready(id)
+    pub fn is_target_ready(&self, id: &str) -> bool {
+        self.shared.dispatch.borrow().targets.is_ready(id)
     }
 
     /// Stops without cutting a request off: first out of the directory, serving on while callers
@@ -83,11 +82,11 @@
         const POLL: Duration = Duration::from_millis(20);
         let began = Instant::now();
         let limit = self.shared.options.stop_limit;
-        self.shared.stop.send_replace(StopPhase::Leaving);
+        self.shared.stop_phase.send_replace(StopPhase::Leaving);
         self.leaving.send_replace(true);
         tracing::info!(in_progress = self.shared.in_progress.get(), "leaving the directory");
         tokio::time::sleep(limit.mul_f64(SERVING_SHARE)).await;
-        self.shared.stop.send_replace(StopPhase::Refusing);
+        self.shared.stop_phase.send_replace(StopPhase::Refusing);
         tracing::info!(in_progress = self.shared.in_progress.get(), "refusing new requests");
         let last = began + limit.saturating_sub(STOP_RESERVE);
         // Callers come for as long as they keep the old list; they are told to go elsewhere.
@@ -119,16 +118,16 @@
         let Some(shared) = shared.upgrade() else { return };
         let now = Instant::now();
         shared.pool.borrow_mut().expire(now);
-        shared.places.borrow_mut().targets.expire(now);
+        shared.dispatch.borrow_mut().targets.expire(now);
     }
 }
 
 async fn pump(shared: Weak<GatewayShared>) {
     loop {
-        tokio::time::sleep(place::PUMP_INTERVAL).await;
+        tokio::time::sleep(dispatch::DISPATCH_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
-        if shared.places.borrow().has_waiters() {
-            place::pump_all(&shared);
+        if shared.dispatch.borrow().has_waiters() {
+            dispatch::dispatch_all(&shared);
         }
     }
 }
--- a/tests/all/fleet/changes.rs
+++ b/tests/all/fleet/changes.rs
@@ -1,6 +1,6 @@
 //! Replacing the serving configuration, and stopping an entry.
 
-use super::bed::{FleetBed, Script, request, usual_config};
+use super::bed::{FleetBed, Script, default_config, request};
 use serde_json::json;
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 #[actix_rt::test]
 async fn a_retried_older_configuration_changes_nothing() {
     let mut fixture = FleetBed::start().await;
-    fixture.target("i-1").await;
-    let mut third = usual_config(3);
+    fixture.start_target("i-1").await;
+    let mut third = default_config(3);
     third["routes"].as_array_mut().expect("a list").retain(|route| route["name"] != "safe");
-    fixture.replace(3, &third).await;
+    fixture.replace_config(3, &third).await;
     fixture.wait_for_version(3).await;
-    fixture.replace(2, &usual_config(2)).await;
-    fixture.replace(3, &usual_config(3)).await;
+    fixture.replace_config(2, &default_config(2)).await;
+    fixture.replace_config(3, &default_config(3)).await;
     let (status, body) = fixture.call("GET", "/config/read", "").await;
     assert_eq!(
         (status, &body[..]),
@@ -23,11 +23,19 @@
         "the content committed first for a version stays"
     );
     assert_eq!(
-        fixture.ask(&request("/safe/1", "r1", "", "")).await.expect("a complete response").status,
+        fixture
+            .send_request(&request("/safe/1", "r1", "", ""))
+            .await
+            .expect("a complete response")
+            .status,
         404
     );
     assert_eq!(
-        fixture.ask(&request("/once/1", "r2", "", "")).await.expect("a complete response").status,
+        fixture
+            .send_request(&request("/once/1", "r2", "", ""))
+            .await
+            .expect("a complete response")
+            .status,
         200
     );
 }
@@ -35,26 +43,26 @@
 #[actix_rt::test]
 async fn a_rejected_configuration_changes_nothing() {
     let fixture = FleetBed::start().await;
-    let mut shared = usual_config(2);
+    let mut shared = default_config(2);
     shared["tenants"][1]["apiKeys"] = json!(["key-a"]);
-    let bad = [shared.to_string(), "{".to_owned(), usual_config(2).to_string()[..200].to_owned()];
+    let bad = [shared.to_string(), "{".to_owned(), default_config(2).to_string()[..200].to_owned()];
     for content in bad {
         assert_eq!(fixture.call("POST", "/config/replace", &content).await.0, 400);
     }
     let (_, body) = fixture.call("GET", "/config/read", "").await;
-    assert_eq!(&body[..], usual_config(1).to_string().as_bytes());
+    assert_eq!(&body[..], default_config(1).to_string().as_bytes());
 }
 
 #[actix_rt::test]
 async fn a_removed_api_key_is_rejected() {
     let mut fixture = FleetBed::start().await;
-    fixture.target("i-1").await;
-    let mut caller = fixture.caller().await;
+    fixture.start_target("i-1").await;
+    let mut caller = fixture.connect_caller().await;
     caller.send(&request("/once/1", "r1", "", "")).await;
     assert_eq!(caller.read().await.expect("a complete response").status, 200);
-    let mut second = usual_config(2);
+    let mut second = default_config(2);
     second["tenants"][0]["apiKeys"] = json!(["key-b"]);
-    fixture.replace(2, &second).await;
+    fixture.replace_config(2, &second).await;
     fixture.wait_for_version(2).await;
     caller.send(&request("/once/1", "r2", "", "")).await;
     assert_eq!(
@@ -70,12 +78,12 @@
 #[actix_rt::test]
 async fn a_stopping_entry_cuts_off_no_response() {
     let mut fixture = FleetBed::start().await;
-    let target = fixture.target("i-1").await;
+    let target = fixture.start_target("i-1").await;
     target.then(Script::Slow(Duration::from_millis(60)));
-    let mut streaming = fixture.caller().await;
+    let mut streaming = fixture.connect_caller().await;
     streaming.send(&request("/stream/1", "r1", "", "")).await;
     fixture.wait_until(|| target.arrived() == 1).await;
-    let mut open_caller = fixture.caller().await;
+    let mut open_caller = fixture.connect_caller().await;
     open_caller.send(&request("/once/1", "r2", "", "")).await;
     assert_eq!(open_caller.read().await.expect("a complete response").status, 200);
 
@@ -113,7 +121,7 @@
     let fixture = FleetBed::start().await;
     let mut text = String::new();
     for version in 2..=6 {
-        let config = usual_config(version);
+        let config = default_config(version);
         text = format!("{config:#}\n \t");
         assert_eq!(fixture.call("POST", "/config/replace", &text).await.0, 200);
         fixture.wait_for_version(version).await;
--- a/tests/all/fleet/reports.rs
+++ b/tests/all/fleet/reports.rs
@@ -11,7 +11,7 @@
 #[actix_rt::test]
 async fn a_target_restarted_under_its_name_serves_again() {
     let mut fixture = FleetBed::start().await;
-    let first = fixture.target("i-1").await;
+    let first = fixture.start_target("i-1").await;
     let heartbeat = |address: &str, born: u64, seq: u64, state: &str| {
         json!({
             "service": "orders", "address": address, "zone": "z1", "slots": 6, "state": state,
@@ -35,7 +35,8 @@
     );
     let left = json!({ "born": 1_000 }).to_string();
     assert_eq!(fixture.call("POST", "/instances/i-1/deregister", &left).await.0, 200);
-    let answer = fixture.ask(&request("/once/1", "r1", "", "")).await.expect("a complete response");
+    let answer =
+        fixture.send_request(&request("/once/1", "r1", "", "")).await.expect("a complete response");
     assert_eq!(answer.status, 200);
     // A target that leaves without stating its incarnation means the current one.
     assert_eq!(fixture.call("POST", "/instances/i-1/deregister", "").await.0, 200);
@@ -49,7 +50,7 @@
 #[actix_rt::test]
 async fn invalid_reports_neither_add_nor_remove_a_target() {
     let mut fixture = FleetBed::start().await;
-    let healthy = fixture.target("i-1").await;
+    let healthy = fixture.start_target("i-1").await;
     let valid = json!({
         "service": "orders", "address": "127.0.0.1:9", "zone": "z1", "slots": 6, "state": "ready",
         "coldLeftMs": 0, "seq": 50, "born": 5_000, "models": [{"name": "m", "version": 1}]
@@ -102,7 +103,8 @@
         assert_eq!(fixture.call_with("POST", "/instances/i-1/deregister", body).await.0, 400);
     }
     assert!(!fixture.entry.knows_target("i-9"));
-    let answer = fixture.ask(&request("/once/1", "r1", "", "")).await.expect("a complete response");
+    let answer =
+        fixture.send_request(&request("/once/1", "r1", "", "")).await.expect("a complete response");
     assert_eq!((answer.status, healthy.arrived()), (200, 1));
 }
 
