--- a/crates/entry/src/stream.rs
+++ b/crates/entry/src/stream.rs
@@ -1,9 +1,9 @@
-//! Relays answers that are too long to hold: event streams, which go on elsewhere when they break,
-//! and large bodies, which then end visibly broken.
+//! Relays responses that are not buffered. If one breaks off, an event stream is resumed at another
+//! target; a large body ends in an error that the caller can detect.
 
 use crate::{
     attempt::{self, AttemptReply},
-    caller::CallerCall,
+    caller::CallerRequest,
     forward,
     guards::AdmissionGuard,
     shared::EntryShared,
@@ -18,38 +18,38 @@
 use std::{io, rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// Ends every event of a stream.
+/// Terminator of every event of a stream.
 const EVENT_END: &[u8] = b"\n\n";
-/// The event that says a stream is whole.
+/// The last event of a complete stream.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
-/// Largest single event.
-const MAX_EVENT_BYTES: usize = 1024 * 1024;
-/// Most further targets that one stream goes on at. When a zone is lost, several in a row may be
-/// dead before their silence shows; finding that out is quick.
+/// Largest incomplete event with which a stream is still resumed.
+const MAX_PARTIAL_EVENT_BYTES: usize = 1024 * 1024;
+/// Maximum number of targets after the first that one stream tries. When a zone fails, several
+/// tried in a row may be down before their missing reports exclude them; such attempts fail fast.
 const MAX_RESUMES: usize = 8;
 
-/// Relays an answer as it comes.
+/// Relays a response as it arrives.
 pub(crate) fn relay(
     shared: Rc<EntryShared>,
-    call: CallerCall,
+    request: CallerRequest,
     profile: ProfileRecord,
     reply: AttemptReply,
-    admitted: AdmissionGuard,
+    admission: AdmissionGuard,
 ) -> HttpReply {
     let status = reply.response.status();
-    let mut head = attempt::reply_head(&call, status, reply.response.headers());
-    let resumable = call.is_model && call.repeatable && status.is_success();
+    let mut head = attempt::reply_head(&request, status, reply.response.headers());
+    let resumable = request.is_model && request.retryable && status.is_success();
     let relay = StreamRelay {
         shared,
-        call,
+        request,
         profile,
         reply,
         buffer: BytesMut::new(),
         events: 0,
         tried: Vec::new(),
         resumable,
-        ended: false,
-        _admitted: admitted,
+        finished: false,
+        _admission: admission,
     };
     let body = BodyStream::new(Box::pin(futures::stream::unfold(relay, StreamRelay::next)));
     head.body(body).map_into_boxed_body()
@@ -57,38 +57,38 @@
 
 struct StreamRelay {
     shared: Rc<EntryShared>,
-    call: CallerCall,
+    request: CallerRequest,
     profile: ProfileRecord,
     reply: AttemptReply,
-    /// Bytes of an event that is not complete yet.
+    /// Bytes of an incomplete event.
     buffer: BytesMut,
-    /// Complete events that the caller has been given.
+    /// Complete events that have been passed on to the caller.
     events: u64,
     tried: Vec<InstanceName>,
     resumable: bool,
-    ended: bool,
-    _admitted: AdmissionGuard,
+    finished: bool,
+    _admission: AdmissionGuard,
 }
 
 impl StreamRelay {
-    /// The next bytes for the caller. An error makes the server close the connection without the
-    /// last chunk, which is how the caller sees that the answer is not whole.
+    /// Returns the next bytes for the caller. An error makes the server close the connection
+    /// without the last HTTP chunk, which shows the caller that the response is incomplete.
     async fn next(mut self) -> Option<(io::Result<Bytes>, Self)> {
-        if self.ended {
+        if self.finished {
             self.drain().await;
             return None;
         }
         loop {
-            let piece = tokio::time::timeout_at(self.call.deadline, self.reply.response.next());
+            let piece = tokio::time::timeout_at(self.request.deadline, self.reply.response.next());
             let failure = match piece.await {
                 Ok(Some(Ok(piece))) => {
-                    if let Some(bytes) = self.take_piece(&piece) {
+                    if let Some(bytes) = self.accept_piece(&piece) {
                         return Some((Ok(bytes), self));
                     }
                     continue;
                 }
-                Ok(None) if self.is_whole() => {
-                    self.finish();
+                Ok(None) if self.is_complete() => {
+                    self.record_completed();
                     return None;
                 }
                 Ok(None) => RefusalReason::BrokenAnswer,
@@ -97,26 +97,31 @@
             };
             self.reply.guard.set_outcome(RequestOutcome::Failed(failure));
             if failure == RefusalReason::DeadlineExceeded || !self.resume().await {
-                self.ended = true;
+                self.finished = true;
                 self.shared.counters.broken.inc();
-                tracing::info!(request = self.call.id, events = self.events, "an answer broke off");
+                tracing::info!(
+                    request = self.request.id,
+                    events = self.events,
+                    "response broke off; closing the connection to the caller"
+                );
                 let error = io::Error::new(io::ErrorKind::UnexpectedEof, "the answer broke off");
                 return Some((Err(error), self));
             }
         }
     }
 
-    /// Reads the end of a stream whose last event has come, so that its connection can be used
-    /// again; a target that does not end it soon costs the connection and no time.
+    /// Reads the end of a stream whose last event has arrived, so that its connection can be
+    /// reused. If the target does not end the body within the timeout, the connection is closed
+    /// instead.
     async fn drain(&mut self) {
-        const PATIENCE: Duration = Duration::from_millis(20);
+        const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
         let rest = async { while let Some(Ok(_)) = self.reply.response.next().await {} };
-        tokio::time::timeout(PATIENCE, rest).await.ok();
+        tokio::time::timeout(DRAIN_TIMEOUT, rest).await.ok();
     }
 
-    /// Takes bytes in; returns what the caller can be given. Of a resumable stream only complete
-    /// events are passed on, so that the place to go on from is always between two events.
-    fn take_piece(&mut self, piece: &Bytes) -> Option<Bytes> {
+    /// Accepts bytes from the target and returns those to pass on. Of a resumable stream only
+    /// complete events are passed on, so that it can always be resumed between two events.
+    fn accept_piece(&mut self, piece: &Bytes) -> Option<Bytes> {
         if !self.resumable {
             return Some(piece.clone());
         }
@@ -125,50 +130,52 @@
         let complete = self.buffer.split_to(end).freeze();
         for event in split_events(&complete) {
             if event.starts_with(DONE_EVENT) {
-                self.ended = true;
+                self.finished = true;
             } else {
                 self.events += 1;
             }
         }
-        if self.ended {
-            self.finish();
+        if self.finished {
+            self.record_completed();
         }
         Some(complete)
     }
 
-    /// Whether a body that ended without an error is whole. A stream of events is whole only with
-    /// its last event; other bodies were checked by their length or their last chunk.
-    fn is_whole(&self) -> bool {
+    /// Whether a body that ended without an error is complete. A resumable stream would have ended
+    /// with its last event; other bodies have been checked by their length or last HTTP chunk.
+    fn is_complete(&self) -> bool {
         !self.resumable
     }
 
-    fn finish(&mut self) {
-        self.ended = true;
+    fn record_completed(&mut self) {
+        self.finished = true;
         let outcome = RequestOutcome::Answered(self.reply.first_byte);
         self.reply.guard.set_outcome(outcome);
         self.shared.counters.answered.inc();
     }
 
-    /// Goes on at another target that serves exactly the same weights, from the first event that
-    /// the caller does not have. Failure guarded: a target dies in mid-answer and a fitter on a
-    /// roof gets half a diagnosis. Another version would continue a different answer, so without
-    /// one of the same version the stream ends broken instead.
+    /// Resumes the stream, from the first event that the caller lacks, at another target that
+    /// serves exactly the same weights. Returns whether it could be resumed.
+    ///
+    /// Without this, a target that dies mid-response leaves the caller with an incomplete one, such
+    /// as half a diagnosis. Another version would continue a different response, so if no target
+    /// serves the same one, the stream ends incomplete.
     async fn resume(&mut self) -> bool {
-        if !self.resumable || self.buffer.len() > MAX_EVENT_BYTES {
+        if !self.resumable || self.buffer.len() > MAX_PARTIAL_EVENT_BYTES {
             return false;
         }
         let manifest = self.reply.choice.manifest;
         self.tried.push(self.reply.choice.target.clone());
-        while self.tried.len() <= MAX_RESUMES && Instant::now() < self.call.deadline {
-            if !self.shared.budget.borrow_mut().spend(&self.call.organisation) {
+        while self.tried.len() <= MAX_RESUMES && Instant::now() < self.request.deadline {
+            if !self.shared.retry_budget.borrow_mut().spend(&self.request.organisation) {
                 return false;
             }
             let chosen =
-                forward::choose(&self.shared, &self.call, &self.profile, &self.tried, manifest);
+                forward::choose(&self.shared, &self.request, &self.profile, &self.tried, manifest);
             let Ok(choice) = chosen else { return false };
             let target = choice.target.clone();
             self.shared.metrics.count_retry(RefusalReason::BrokenAnswer);
-            let sent = attempt::send(&self.shared, &self.call, choice, Some(self.events)).await;
+            let sent = attempt::send(&self.shared, &self.request, choice, Some(self.events)).await;
             match sent {
                 Ok(reply) if reply.response.status().is_success() => {
                     self.reply = reply;
@@ -179,7 +186,7 @@
                 Ok(reply) => self.tried.push(reply.choice.target.clone()),
                 Err(failure) => {
                     if failure.report.reason == RefusalReason::ConnectFailed {
-                        self.shared.budget.borrow_mut().refund(&self.call.organisation);
+                        self.shared.retry_budget.borrow_mut().refund(&self.request.organisation);
                     }
                     self.tried.push(target);
                 }
@@ -189,13 +196,13 @@
     }
 }
 
-/// End of the last complete event.
+/// Offset after the last complete event.
 fn last_event_end(buffer: &[u8]) -> Option<usize> {
     let at = buffer.windows(EVENT_END.len()).rposition(|window| window == EVENT_END)?;
     Some(at + EVENT_END.len())
 }
 
-/// The complete events in `bytes`, without their ends.
+/// The complete events in `bytes`, without their terminators.
 fn split_events(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = bytes;
     std::iter::from_fn(move || {
