--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -3,7 +3,7 @@
 use crate::{
     group_tasks,
     outbox::OutboxTable,
-    repair::JoinTable,
+    repair::RepairPlanner,
     runtime::{ControlOptions, ControlShared, StartError},
 };
 use egretseam_catalog::{CatalogCommand, CatalogState, TimestampedCommand};
@@ -101,7 +101,7 @@
     started: Instant,
     was_leader: bool,
     /// Present where the group mends itself.
-    joins: Option<JoinTable>,
+    planner: Option<RepairPlanner>,
     repair_due: Instant,
 }
 
@@ -173,7 +173,7 @@
             newer
         });
         let formation = shared.options.formation.as_ref();
-        let joins = formation.map(|formation| JoinTable::new(formation.repair));
+        let planner = formation.map(|formation| RepairPlanner::new(formation.repair));
         let mut driver = Self {
             shared,
             node: member.node,
@@ -184,7 +184,7 @@
             next_read: 0,
             started: Instant::now(),
             was_leader: false,
-            joins,
+            planner,
             repair_due: Instant::now(),
         };
         let membership = driver.node.membership().clone();
@@ -221,7 +221,7 @@
 
     /// Whether the group has removed this member and it may join anew.
     fn is_out(&self) -> bool {
-        self.joins.is_some() && self.node.status().role == NodeRole::Removed
+        self.planner.is_some() && self.node.status().role == NodeRole::Removed
     }
 
     fn take_input(&mut self, input: ControlInput) {
@@ -285,8 +285,8 @@
         } else if self.node.membership().get(record.id).is_some() {
             JoinReply::Member
         } else {
-            if let Some(joins) = &mut self.joins {
-                joins.note(record, Instant::now());
+            if let Some(planner) = &mut self.planner {
+                planner.record_join_request(record, Instant::now());
             }
             JoinReply::Noted
         };
@@ -302,8 +302,8 @@
         self.repair_due = now + REPAIR_INTERVAL;
         let status = self.node.status();
         let own = self.node.id();
-        let Some(joins) = &mut self.joins else { return };
-        let Some(change) = joins.next_change(&status, own, now) else { return };
+        let Some(planner) = &mut self.planner else { return };
+        let Some(change) = planner.next_change(&status, own, now) else { return };
         match self.node.change_membership(&change) {
             Ok(_) => tracing::info!(?change, "the group mends itself"),
             Err(error) => tracing::debug!(%error, ?change, "a repair has to wait"),
--- a/crates/control/src/handler.rs
+++ b/crates/control/src/handler.rs
@@ -30,13 +30,13 @@
         Self { shared }
     }
 
-    /// The state at this member; what it holds may be behind, see [`ControlHandler::confirm`].
+    /// The state at this member; what it holds may be behind, see [`ControlHandler::confirm_read`].
     pub fn state(&self) -> std::cell::Ref<'_, CatalogState> {
         self.shared.state.borrow()
     }
 
     /// Index of the last entry applied at this member.
-    pub fn applied(&self) -> watch::Receiver<LogIndex> {
+    pub fn applied_index(&self) -> watch::Receiver<LogIndex> {
         self.shared.applied.subscribe()
     }
 
@@ -46,16 +46,16 @@
     }
 
     /// Confirms that this member's state covers everything accepted before now.
-    pub async fn confirm(&self) -> Option<LogIndex> {
+    pub async fn confirm_read(&self) -> Option<LogIndex> {
         let (reply, confirmed) = oneshot::channel();
         self.shared.inbox.try_send(ControlInput::Read { reply }).ok()?;
-        let confirm = async {
+        let confirmation = async {
             let index = confirmed.await.ok().flatten()?;
             let mut applied = self.shared.applied.subscribe();
             applied.wait_for(|applied| *applied >= index).await.ok()?;
             Some(index)
         };
-        tokio::time::timeout(CONFIRM_LIMIT, confirm).await.ok().flatten()
+        tokio::time::timeout(CONFIRM_LIMIT, confirmation).await.ok().flatten()
     }
 
     async fn wait_for_change(&self, held: Revision, wait: Duration) {
@@ -89,7 +89,7 @@
         self.shared.watchers.borrow_mut().note(&call);
         self.wait_for_change(call.held, Duration::from_millis(call.wait_millis)).await;
         self.shared.watchers.borrow_mut().note(&call);
-        if self.confirm().await.is_none() {
+        if self.confirm_read().await.is_none() {
             return WatchReply::Unconfirmed;
         }
         let state = self.shared.state.borrow();
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use crate::{
     handler::ControlHandler,
-    operator::{HealthSource, OperatorHandler, TargetsSource},
-    repair::{JoinTable, RepairPolicy},
+    operator::{OperatorHandler, ReadinessSource, TargetsSource},
+    repair::{RepairPlanner, RepairPolicy},
     runtime::{ControlOptions, ControlRuntime, GroupFormation, StartError},
 };
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -27,7 +27,7 @@
 }
 
 /// Whether the process can do its work.
-pub trait HealthSource {
+pub trait ReadinessSource {
     /// Why it is not ready, or nothing.
     fn not_ready(&self) -> Option<String>;
 }
@@ -37,7 +37,7 @@
     client: Rc<ControlClient>,
     token: SecretToken,
     metrics: DaemonMetrics,
-    health: Rc<dyn HealthSource>,
+    health: Rc<dyn ReadinessSource>,
     targets: Rc<dyn TargetsSource>,
 }
 
@@ -63,7 +63,7 @@
         client: Rc<ControlClient>,
         token: SecretToken,
         metrics: DaemonMetrics,
-        health: Rc<dyn HealthSource>,
+        health: Rc<dyn ReadinessSource>,
         targets: Rc<dyn TargetsSource>,
     ) -> Self {
         Self { client, token, metrics, health, targets }
--- a/crates/control/src/repair.rs
+++ b/crates/control/src/repair.rs
@@ -22,19 +22,19 @@
 
 /// Members that want to belong to the group, at its leader.
 #[derive(Debug)]
-pub struct JoinTable {
+pub struct RepairPlanner {
     policy: RepairPolicy,
     rows: IndexMap<MemberId, (MemberRecord, Instant)>,
 }
 
-impl JoinTable {
+impl RepairPlanner {
     /// An empty table.
     pub fn new(policy: RepairPolicy) -> Self {
         Self { policy, rows: IndexMap::new() }
     }
 
     /// Notes that a member asks to join.
-    pub fn note(&mut self, record: MemberRecord, now: Instant) {
+    pub fn record_join_request(&mut self, record: MemberRecord, now: Instant) {
         self.rows.insert(record.id, (record, now));
     }
 
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -7,7 +7,7 @@
     TargetKindSetting,
 };
 use egretseam_control::{
-    ControlOptions, ControlRuntime, HealthSource, OperatorHandler, TargetsSource,
+    ControlOptions, ControlRuntime, OperatorHandler, ReadinessSource, TargetsSource,
 };
 use egretseam_entry::{EntryListeners, EntryOptions, EntryRuntime, EntryShared};
 use egretseam_http::{DaemonMetrics, SecretToken, ServerHandle, ServerOptions, spawn_server};
@@ -304,7 +304,7 @@
     }
 }
 
-impl HealthSource for RoleViews {
+impl ReadinessSource for RoleViews {
     fn not_ready(&self) -> Option<String> {
         if let Some(entry) = &self.entry {
             if entry.is_stopping() {
--- a/crates/registrar/src/front.rs
+++ b/crates/registrar/src/front.rs
@@ -252,7 +252,7 @@
 }
 
 async fn read(shared: &RegistrarShared) -> ControlReply {
-    if shared.control.confirm().await.is_none() {
+    if shared.control.confirm_read().await.is_none() {
         shared.metrics.reads_unavailable.inc();
         return ControlReply::Unavailable("the newest configuration cannot be confirmed");
     }
--- a/crates/registrar/src/publish.rs
+++ b/crates/registrar/src/publish.rs
@@ -20,7 +20,7 @@
 /// Watches the log's state.
 pub(crate) async fn watch_log(shared: Weak<RegistrarShared>) {
     let Some(held) = shared.upgrade() else { return };
-    let mut applied = held.control.applied();
+    let mut applied = held.control.applied_index();
     drop(held);
     loop {
         {
--- a/tests/all/group_repair.rs
+++ b/tests/all/group_repair.rs
@@ -1,6 +1,6 @@
 //! Automatic repair of the control group: which member is added, promoted or removed next.
 
-use egretseam_control::{JoinTable, RepairPolicy};
+use egretseam_control::{RepairPlanner, RepairPolicy};
 use egretseam_replica::{
     LogIndex, MemberId, MemberProgress, MemberRecord, Membership, MembershipChange, NodeRole,
     NodeStatus, Term,
@@ -44,13 +44,13 @@
 
 /// Applies the changes that the repair proposes until it proposes none; returns them.
 fn run_repair(
-    joins: &mut JoinTable,
+    planner: &mut RepairPlanner,
     membership: &mut Membership,
     silent_millis: &[(u64, u64)],
 ) -> Vec<MembershipChange> {
     let mut changes = Vec::new();
     while let Some(change) =
-        joins.next_change(&leader_status(membership, silent_millis), LEADER, Instant::now())
+        planner.next_change(&leader_status(membership, silent_millis), LEADER, Instant::now())
     {
         *membership = membership.with_change(&change).expect("the change applies");
         changes.push(change);
@@ -61,8 +61,8 @@
 
 #[actix_rt::test]
 async fn a_silent_voter_stays_while_no_member_asks_to_join() {
-    let mut joins = JoinTable::new(POLICY);
-    assert!(run_repair(&mut joins, &mut founders(), &[(2, 100), (3, 9_000)]).is_empty());
+    let mut planner = RepairPlanner::new(POLICY);
+    assert!(run_repair(&mut planner, &mut founders(), &[(2, 100), (3, 9_000)]).is_empty());
 }
 
 /// A member that lost its disk returns at its old address under a new id. It must be added as a
@@ -70,10 +70,10 @@
 /// loss in between leaves no quorum, and no change can be committed.
 #[actix_rt::test]
 async fn a_member_that_lost_its_disk_replaces_its_previous_identity() {
-    let mut joins = JoinTable::new(POLICY);
+    let mut planner = RepairPlanner::new(POLICY);
     let mut membership = founders();
-    joins.note(record(9, 3), Instant::now());
-    let changes = run_repair(&mut joins, &mut membership, &[(2, 100), (3, 300), (9, 100)]);
+    planner.record_join_request(record(9, 3), Instant::now());
+    let changes = run_repair(&mut planner, &mut membership, &[(2, 100), (3, 300), (9, 100)]);
     let expected = [
         MembershipChange::AddLearner(record(9, 3)),
         MembershipChange::Remove(MemberId(3)),
@@ -85,16 +85,18 @@
 
 #[actix_rt::test]
 async fn a_learner_replaces_a_voter_only_after_replace_after() {
-    let mut joins = JoinTable::new(POLICY);
+    let mut planner = RepairPlanner::new(POLICY);
     let mut membership = founders();
-    joins.note(record(4, 4), Instant::now());
-    let changes_before = run_repair(&mut joins, &mut membership, &[(2, 100), (3, 1_000), (4, 100)]);
+    planner.record_join_request(record(4, 4), Instant::now());
+    let changes_before =
+        run_repair(&mut planner, &mut membership, &[(2, 100), (3, 1_000), (4, 100)]);
     assert_eq!(
         changes_before,
         [MembershipChange::AddLearner(record(4, 4))],
         "voter 3 has been silent for less than replace_after"
     );
-    let changes_after = run_repair(&mut joins, &mut membership, &[(2, 100), (3, 2_600), (4, 100)]);
+    let changes_after =
+        run_repair(&mut planner, &mut membership, &[(2, 100), (3, 2_600), (4, 100)]);
     assert_eq!(
         changes_after,
         [MembershipChange::Remove(MemberId(3)), MembershipChange::Promote(MemberId(4))]
@@ -104,22 +106,22 @@
 #[actix_rt::test]
 async fn a_group_with_too_few_voters_promotes_learners() {
     let policy = RepairPolicy { voters: 5, ..POLICY };
-    let mut joins = JoinTable::new(policy);
+    let mut planner = RepairPlanner::new(policy);
     let mut membership = founders();
-    joins.note(record(4, 4), Instant::now());
-    joins.note(record(5, 5), Instant::now());
+    planner.record_join_request(record(4, 4), Instant::now());
+    planner.record_join_request(record(5, 5), Instant::now());
     let silent_millis = [(2, 100), (3, 100), (4, 100), (5, 100)];
-    run_repair(&mut joins, &mut membership, &silent_millis);
+    run_repair(&mut planner, &mut membership, &silent_millis);
     assert_eq!(membership.voters().count(), 5);
 }
 
 #[actix_rt::test]
 async fn an_unreachable_learner_is_removed_and_not_added_again() {
-    let mut joins = JoinTable::new(POLICY);
+    let mut planner = RepairPlanner::new(POLICY);
     let mut membership = founders();
-    joins.note(record(4, 4), Instant::now());
-    run_repair(&mut joins, &mut membership, &[(2, 100), (3, 100), (4, 100)]);
+    planner.record_join_request(record(4, 4), Instant::now());
+    run_repair(&mut planner, &mut membership, &[(2, 100), (3, 100), (4, 100)]);
     let silent_millis = [(2, 100), (3, 100), (4, 5_000)];
-    let changes = run_repair(&mut joins, &mut membership, &silent_millis);
+    let changes = run_repair(&mut planner, &mut membership, &silent_millis);
     assert_eq!(changes, [MembershipChange::Remove(MemberId(4))], "a removed id is not added again");
 }
