--- a/crates/control/src/clock.rs
+++ b/crates/control/src/clock.rs
@@ -1,36 +1,37 @@
-//! The log's clock.
+//! Clock that timestamps the commands of the log.
 
 use egretseam_catalog::LogTime;
 use tokio::time::Instant;
 
-/// Continues the log's clock by this member's monotonic clock.
+/// Log time: the timestamp of the newest applied command plus the time that has passed on this
+/// member's monotonic clock since it was applied.
 ///
-/// Failure guarded: with wall clocks, a leader whose clock jumps ahead would expire every claim
-/// and grant at once. It would show as a request that runs twice. Here a new leader goes on from
-/// the time that the log last held, so time can only pass as fast as some member's monotonic
-/// clock; while nobody leads, and over a restart of all, it stands still, which only makes grants
-/// hold longer.
+/// It does not use wall clocks: a leader whose wall clock jumps ahead would expire all claims and
+/// grants at once, and a request could run twice. A new leader continues from the last timestamp in
+/// the log, so log time advances no faster than the monotonic clock of some member. Timestamps do
+/// not advance while there is no leader, and the time for which all members are down does not
+/// count; both only make grants hold longer.
 #[derive(Debug)]
 pub(crate) struct LogClock {
     base: LogTime,
-    at: Instant,
+    observed_at: Instant,
 }
 
 impl LogClock {
     pub(crate) fn new(base: LogTime) -> Self {
-        Self { base, at: Instant::now() }
+        Self { base, observed_at: Instant::now() }
     }
 
-    /// Takes in the time of an applied command.
+    /// Advances the clock to the timestamp of an applied command; an older one is ignored.
     pub(crate) fn observe(&mut self, time: LogTime) {
         if time > self.base {
             self.base = time;
-            self.at = Instant::now();
+            self.observed_at = Instant::now();
         }
     }
 
-    /// The time for a command proposed now.
+    /// Timestamp for a command that is proposed now.
     pub(crate) fn now(&self) -> LogTime {
-        self.base.plus_millis(self.at.elapsed().as_millis() as u64)
+        self.base.plus_millis(self.observed_at.elapsed().as_millis() as u64)
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,13 +1,13 @@
-//! A control member: drives one [`egretseam_replica::ReplicaNode`] over TCP and disk, applies
+//! A control member: connects one [`egretseam_replica::ReplicaNode`] to TCP and disk, applies
 //! committed commands to the catalog, and answers entries and operators.
 //!
-//! [`ControlRuntime`] owns the driver task; [`ControlHandler`] is what the peer listener calls;
-//! [`OperatorHandler`] is the HTTP interface for operators, which any of our processes can serve
-//! because it reaches control as a client.
+//! [`ControlRuntime`] owns the driver task. [`ControlHandler`] implements the RPC service of the
+//! peer listener. [`OperatorHandler`] is the HTTP interface for operators; every process of the
+//! system can serve it, because it reaches the control members as a client.
 //!
-//! A group forms and mends itself where [`ControlOptions::formation`] is set: founders that know
-//! each other beforehand begin together, everybody else asks to join, and the leader replaces
-//! voters that are lost ([`RepairPolicy`]).
+//! Where [`ControlOptions::formation`] is set, a group forms and repairs itself without an
+//! operator: founders, which know each other's addresses, bootstrap the group together, other
+//! members request to join, and the leader replaces lost voters ([`RepairPolicy`]).
 
 mod clock;
 mod driver;
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -1,4 +1,5 @@
-//! HTTP with JSON for operators, and health, readiness and metrics of the process.
+//! HTTP interface with JSON for operators, and the health, readiness and metrics endpoints of the
+//! process.
 
 use actix_http::{HttpMessage, Method, Request, StatusCode};
 use egretseam_catalog::{CatalogCommand, CatalogReply, ConfigUpdate, EditRequest};
@@ -15,29 +16,29 @@
 use serde::{Deserialize, Serialize};
 use std::{rc::Rc, time::Duration};
 
-/// Largest accepted operator's body.
+/// Largest accepted body of an operator's request.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// How long an operator's call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a call to the control members on behalf of an operator.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the process knows of targets; only an entry knows any.
+/// Lists the targets that the process knows; only an entry knows any.
 pub trait TargetsSource {
-    /// All known targets as JSON, or `None` if this process routes nothing.
+    /// All known targets as JSON, or `None` if this process does not route requests.
     fn targets(&self) -> Option<serde_json::Value>;
 }
 
-/// Whether the process can do its work.
+/// Tells whether the process is ready to serve.
 pub trait ReadinessSource {
-    /// Why it is not ready, or nothing.
+    /// Reason why the process is not ready, or `None` if it is ready.
     fn not_ready(&self) -> Option<String>;
 }
 
-/// Answers operators.
+/// HTTP handler for operators.
 pub struct OperatorHandler {
     client: Rc<ControlClient>,
     token: SecretToken,
     metrics: DaemonMetrics,
-    health: Rc<dyn ReadinessSource>,
+    readiness: Rc<dyn ReadinessSource>,
     targets: Rc<dyn TargetsSource>,
 }
 
@@ -58,18 +59,18 @@
 }
 
 impl OperatorHandler {
-    /// A handler that reaches control through `client`.
+    /// Makes a handler that reaches the control members through `client`.
     pub fn new(
         client: Rc<ControlClient>,
         token: SecretToken,
         metrics: DaemonMetrics,
-        health: Rc<dyn ReadinessSource>,
+        readiness: Rc<dyn ReadinessSource>,
         targets: Rc<dyn TargetsSource>,
     ) -> Self {
-        Self { client, token, metrics, health, targets }
+        Self { client, token, metrics, readiness, targets }
     }
 
-    async fn answer(&self, mut request: Request) -> Result<HttpReply, FailureReport> {
+    async fn respond(&self, mut request: Request) -> Result<HttpReply, FailureReport> {
         let path = request.path().to_owned();
         let method = request.method().clone();
         match (&method, path.as_str()) {
@@ -115,7 +116,7 @@
     }
 
     fn readiness(&self) -> HttpReply {
-        match self.health.not_ready() {
+        match self.readiness.not_ready() {
             None => text_reply(StatusCode::OK, "ready\n"),
             Some(why) => text_reply(StatusCode::SERVICE_UNAVAILABLE, format!("not ready: {why}\n")),
         }
@@ -123,7 +124,7 @@
 
     async fn edit(&self, request: EditRequest) -> Result<HttpReply, FailureReport> {
         let command = CatalogCommand::Edit(request);
-        let reply = self.client.submit(&command, CALL_LIMIT).await.map_err(control_failure)?;
+        let reply = self.client.submit(&command, CALL_TIMEOUT).await.map_err(submit_failure)?;
         Ok(match reply {
             CatalogReply::Accepted { revision } => {
                 json_reply(StatusCode::OK, &AcceptedReply { revision })
@@ -146,8 +147,8 @@
         let entry = InstanceName::try_from("operator").expect("a valid name");
         let call =
             WatchCall { entry, incarnation: Incarnation(0), held: Revision(0), wait_millis: 0 };
-        const TRIES: usize = 5;
-        for _ in 0..TRIES {
+        const MAX_WATCH_ATTEMPTS: usize = 5;
+        for _ in 0..MAX_WATCH_ATTEMPTS {
             match self.client.watch(call.clone()).await {
                 Ok(WatchReply::Confirmed { update: ConfigUpdate::Whole(view), .. }) => {
                     return Ok(json_reply(StatusCode::OK, &view));
@@ -173,13 +174,14 @@
     }
 
     async fn members(&self) -> Result<HttpReply, FailureReport> {
-        let reply = self.client.members(CALL_LIMIT).await.map_err(control_failure)?;
+        let reply = self.client.members(CALL_TIMEOUT).await.map_err(submit_failure)?;
         Ok(json_reply(StatusCode::OK, &reply))
     }
 
     async fn change_members(&self, change: MembershipChange) -> Result<HttpReply, FailureReport> {
         let call = MemberCall { change };
-        let reply = self.client.change_members(&call, CALL_LIMIT).await.map_err(control_failure)?;
+        let reply =
+            self.client.change_members(&call, CALL_TIMEOUT).await.map_err(submit_failure)?;
         match reply {
             MemberReply::Done => Ok(json_reply(StatusCode::OK, &"done")),
             MemberReply::Refused(why) => Err(FailureReport::not_run(RefusalReason::Conflict, why)),
@@ -198,12 +200,12 @@
         let name = ProfileName::try_from(name).map_err(|error| {
             FailureReport::not_run(RefusalReason::BadRequest, error.to_string())
         })?;
-        let records = self.client.history(&name, CALL_LIMIT).await.map_err(control_failure)?;
+        let records = self.client.history(&name, CALL_TIMEOUT).await.map_err(submit_failure)?;
         Ok(json_reply(StatusCode::OK, &records))
     }
 }
 
-fn control_failure(error: SubmitError) -> FailureReport {
+fn submit_failure(error: SubmitError) -> FailureReport {
     match error {
         SubmitError::NotRun(detail) => FailureReport::not_run(RefusalReason::NoQuorum, detail),
         SubmitError::Unknown(detail) => {
@@ -215,7 +217,7 @@
 impl HttpHandler for OperatorHandler {
     fn handle(self: Rc<Self>, request: Request) -> LocalBoxFuture<'static, HttpReply> {
         Box::pin(async move {
-            match self.answer(request).await {
+            match self.respond(request).await {
                 Ok(reply) => reply,
                 Err(report) => {
                     self.metrics.count_refusal(&report);
--- a/crates/control/src/repair.rs
+++ b/crates/control/src/repair.rs
@@ -1,65 +1,72 @@
-//! Decides how the control group mends itself: who is added, promoted and removed, one step at a
-//! time. Free of I/O; the leader's driver asks at every check and proposes what is returned.
+//! Automatic repair of the control group: chooses which member is added, promoted or removed next,
+//! one membership change at a time. Free of I/O; the driver of the leader asks for the next change
+//! at an interval and proposes it.
 
 use egretseam_replica::{MemberId, MemberRecord, MembershipChange, NodeStatus};
 use indexmap::IndexMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a member that asked to join is remembered without asking again.
-const JOIN_MEMORY: Duration = Duration::from_secs(3);
+/// Time after which a join request expires unless the member repeats it.
+const JOIN_REQUEST_LIFETIME: Duration = Duration::from_secs(3);
 
-/// Limits of repairs.
+/// When and up to which size the group is repaired.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepairPolicy {
     /// Voters that the group should have.
     pub voters: usize,
-    /// Silence after which a voter is replaced by a learner that has caught up. Long enough that a
-    /// process that was killed is back before, short enough that the group is whole again before
-    /// the platform may take the next member.
+    /// Time without an answer after which a voter is replaced by a learner that has caught up, and
+    /// a learner is removed. Longer than a killed process takes to restart, and short enough that
+    /// the group has all its voters again before the platform may stop the next member.
     pub replace_after: Duration,
 }
 
-/// Members that want to belong to the group, at its leader.
+/// Chooses the membership changes of a repair from the status of the leader and the join requests
+/// that it received.
 #[derive(Debug)]
 pub struct RepairPlanner {
     policy: RepairPolicy,
-    rows: IndexMap<MemberId, (MemberRecord, Instant)>,
+    join_requests: IndexMap<MemberId, (MemberRecord, Instant)>,
 }
 
 impl RepairPlanner {
-    /// An empty table.
+    /// Makes a planner without join requests.
     pub fn new(policy: RepairPolicy) -> Self {
-        Self { policy, rows: IndexMap::new() }
+        Self { policy, join_requests: IndexMap::new() }
     }
 
-    /// Notes that a member asks to join.
+    /// Records that a member requested to join.
     pub fn record_join_request(&mut self, record: MemberRecord, now: Instant) {
-        self.rows.insert(record.id, (record, now));
+        self.join_requests.insert(record.id, (record, now));
     }
 
-    /// The next step towards a whole group, if one is due.
+    /// Returns the next membership change towards a group of `policy.voters` reachable voters, if
+    /// one is needed and possible.
     pub fn next_change(
         &mut self,
         status: &NodeStatus,
-        own: MemberId,
+        own_id: MemberId,
         now: Instant,
     ) -> Option<MembershipChange> {
-        self.rows.retain(|_, (_, at)| now.saturating_duration_since(*at) < JOIN_MEMORY);
+        self.join_requests
+            .retain(|_, (_, at)| now.saturating_duration_since(*at) < JOIN_REQUEST_LIFETIME);
         let group = &status.membership;
-        let silent = |id: MemberId| {
+        let time_since_answer = |id: MemberId| {
             let peer = status.progress.iter().find(|peer| peer.id == id);
             peer.map_or(Duration::ZERO, |peer| peer.silent_for)
         };
-        let is_live = |id: MemberId| id == own || silent(id) < self.policy.replace_after;
-        // A learner whose address another member has taken over is gone for good, like its disk.
-        let usurped = |record: &MemberRecord| {
-            let same_place = |other: &MemberRecord| other.address == record.address;
-            let joins =
-                self.rows.values().any(|(other, _)| same_place(other) && other.id != record.id);
-            joins && silent(record.id) > Duration::ZERO
+        let is_alive =
+            |id: MemberId| id == own_id || time_since_answer(id) < self.policy.replace_after;
+        // A member whose address another member has taken over has lost its disk and never returns.
+        let address_taken = |record: &MemberRecord| {
+            let same_address = |other: &MemberRecord| other.address == record.address;
+            let has_join_request = self
+                .join_requests
+                .values()
+                .any(|(other, _)| same_address(other) && other.id != record.id);
+            has_join_request && time_since_answer(record.id) > Duration::ZERO
         };
-        let voters = group.voters().count();
+        let voter_count = group.voters().count();
         let caught_up = |record: &MemberRecord| {
             let peer = status.progress.iter().find(|peer| peer.id == record.id);
             peer.is_some_and(|peer| {
@@ -67,29 +74,31 @@
             })
         };
         let mut learners = group.members().filter(|member| !member.voter);
-        let heir = learners.find(|member| is_live(member.id) && caught_up(member));
-        if let Some(heir) = heir {
-            // Failure guarded: removing a lost voter before its successor has the log would leave
-            // a group in which one more loss stops everything. The successor is there already, so
-            // the group is small only between these two steps.
-            let lost = group.members().filter(|member| member.voter && member.id != own);
-            let lost = lost.into_iter().find(|member| usurped(member) || !is_live(member.id));
-            if let Some(lost) = lost.filter(|_| voters >= self.policy.voters) {
-                return Some(MembershipChange::Remove(lost.id));
+        let successor = learners.find(|member| is_alive(member.id) && caught_up(member));
+        if let Some(successor) = successor {
+            // If a lost voter were removed before its successor has caught up, one more loss could
+            // cost the group its quorum. The successor has caught up here, so the group is one
+            // voter short only between the removal and the promotion.
+            let other_voters = group.members().filter(|member| member.voter && member.id != own_id);
+            let lost_voter = other_voters
+                .into_iter()
+                .find(|member| address_taken(member) || !is_alive(member.id));
+            if let Some(lost_voter) = lost_voter.filter(|_| voter_count >= self.policy.voters) {
+                return Some(MembershipChange::Remove(lost_voter.id));
             }
-            if voters < self.policy.voters {
-                return Some(MembershipChange::Promote(heir.id));
+            if voter_count < self.policy.voters {
+                return Some(MembershipChange::Promote(successor.id));
             }
         }
-        let dead_learner = group
+        let lost_learner = group
             .members()
-            .find(|member| !member.voter && (usurped(member) || !is_live(member.id)));
-        if let Some(dead) = dead_learner {
-            return Some(MembershipChange::Remove(dead.id));
+            .find(|member| !member.voter && (address_taken(member) || !is_alive(member.id)));
+        if let Some(lost_learner) = lost_learner {
+            return Some(MembershipChange::Remove(lost_learner.id));
         }
-        let stranger =
+        let is_unknown =
             |record: &&MemberRecord| group.get(record.id).is_none() && !group.is_removed(record.id);
-        let waiting = self.rows.values().map(|(record, _)| record);
-        waiting.into_iter().find(stranger).cloned().map(MembershipChange::AddLearner)
+        let requested = self.join_requests.values().map(|(record, _)| record);
+        requested.into_iter().find(is_unknown).cloned().map(MembershipChange::AddLearner)
     }
 }
