--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -1,4 +1,5 @@
-//! Carries out what the replica decides: disk, network, state machine, replies.
+//! Executes the outputs of the replica: disk writes, messages to peers, commands for the state
+//! machine, and replies to callers.
 
 use crate::{
     group_tasks,
@@ -19,43 +20,44 @@
     time::Instant,
 };
 
-/// How often the replica is told the time.
-const TICK: Duration = Duration::from_millis(25);
-/// Most inputs that share one sync.
-const BATCH_LENGTH: usize = 2_048;
-/// Pause before a member whose disk refused a write opens it again.
-pub(crate) const REOPEN_PAUSE: Duration = Duration::from_secs(1);
-/// How often the leader looks whether the group needs a repair.
+/// Maximum interval between two updates of the replica's time.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Maximum number of inputs that share one sync to disk.
+const MAX_INPUT_BATCH: usize = 2_048;
+/// Delay before a member reopens its data folder after a failed write or a failed attempt to open
+/// or reinitialise it.
+pub(crate) const REOPEN_DELAY: Duration = Duration::from_secs(1);
+/// Interval at which the leader checks whether the group needs a repair.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One thing for the driver to take in.
+/// Input of the driver.
 pub(crate) enum ControlInput {
     Messages { reply_to: String, batch: Vec<Envelope> },
     Submit { command: CatalogCommand, reply: oneshot::Sender<SubmitReply> },
     ChangeMembers { change: MembershipChange, reply: oneshot::Sender<MemberReply> },
     Read { reply: oneshot::Sender<Option<LogIndex>> },
     Join { record: MemberRecord, reply: oneshot::Sender<JoinReply> },
-    Transfer,
+    TransferLeadership,
 }
 
-/// A data folder as opened.
+/// A member as recovered from its data folder.
 pub(crate) struct OpenedMember {
     pub(crate) state: CatalogState,
     node: ReplicaNode,
     store: LogStore,
 }
 
-/// Opens the data folder.
+/// Opens the data folder and recovers the member from it.
 pub(crate) fn open(options: &ControlOptions) -> Result<OpenedMember, StartError> {
     let (store, identity, recovered) = LogStore::open(&options.folder)?;
-    let state = decode(&recovered.snapshot.data)
+    let state = decode_snapshot(&recovered.snapshot.data)
         .map_err(|detail| StartError::Snapshot { folder: options.folder.clone(), detail })?;
     let seed = std::process::id().into();
     let node = ReplicaNode::new(&identity, recovered, options.replica, seed);
     Ok(OpenedMember { state, node, store })
 }
 
-fn decode(data: &[u8]) -> Result<CatalogState, String> {
+fn decode_snapshot(data: &[u8]) -> Result<CatalogState, String> {
     if data.is_empty() {
         return Ok(CatalogState::new());
     }
@@ -68,8 +70,9 @@
 }
 
 impl PendingReply {
-    /// Answers that the entry was replaced by another leader's: it certainly was not accepted.
-    fn replaced(self) {
+    /// Replies `NotLeader`: another leader's entry was committed at this index, so the proposed
+    /// entry never will be.
+    fn reply_overwritten(self) {
         match self {
             Self::Submit(reply) => {
                 reply.send(SubmitReply::NotLeader { leader: None }).ok();
@@ -81,10 +84,10 @@
     }
 }
 
-/// Why a driver ended.
-enum DriveEnd {
-    /// The disk refused a write.
-    Disk(StoreError),
+/// Why [`Driver::drive`] returned.
+enum DriverExit {
+    /// A write to disk failed.
+    DiskFailure(StoreError),
     /// The group removed this member.
     Removed,
 }
@@ -92,21 +95,22 @@
 struct Driver {
     shared: Rc<ControlShared>,
     node: ReplicaNode,
-    /// Absent only while a blocking task writes.
+    /// `None` only while a blocking task writes to it.
     store: Option<LogStore>,
     outbox: OutboxTable,
     pending: IndexMap<LogIndex, (Term, PendingReply)>,
     reads: IndexMap<ReadToken, oneshot::Sender<Option<LogIndex>>>,
     next_read: u64,
-    started: Instant,
+    started_at: Instant,
     was_leader: bool,
-    /// Present where the group mends itself.
+    /// Present if the group repairs itself.
     planner: Option<RepairPlanner>,
-    repair_due: Instant,
+    next_repair_at: Instant,
 }
 
-/// Runs a member until its task is aborted. A disk that refuses a write stops the member; it opens
-/// the folder again, as after a crash, until the disk takes writes.
+/// Runs a member until its task is aborted. After a failed write to disk the member drops its state
+/// and reopens the data folder, as after a crash, until that succeeds. A member that the group
+/// removed rejoins if the group forms without an operator.
 pub(crate) async fn run(
     shared: Rc<ControlShared>,
     opened: OpenedMember,
@@ -119,24 +123,24 @@
             None => reopen(&shared).await,
         };
         let mut driver = Driver::new(shared.clone(), member);
-        let end = driver.drive(&mut receiver).await;
-        let error = match end {
+        let exit = driver.drive(&mut receiver).await;
+        let error = match exit {
             None => return,
-            Some(DriveEnd::Disk(error)) => error,
-            Some(DriveEnd::Removed) => {
+            Some(DriverExit::DiskFailure(error)) => error,
+            Some(DriverExit::Removed) => {
                 drop(driver);
                 group_tasks::rejoin(&shared).await;
                 continue;
             }
         };
-        // Failure guarded: after a refused write nobody knows what the disk holds, so nothing this
-        // process remembers may be acknowledged or voted on. It shows as a full or read-only disk.
-        // Dropping all of it and reading the disk again is the one state that is known.
-        tracing::error!(%error, "the disk refused a write; the member opens its folder anew");
+        // After a failed write, for example to a full or read-only disk, the content of the disk is
+        // unknown, so the member must not acknowledge or vote based on what it holds in memory. The
+        // only known state is what recovery reads from the disk.
+        tracing::error!(%error, "write to the data folder failed; reopening the folder");
         shared.metrics.disk_failures.inc();
         shared.healthy.set(false);
         drop(driver);
-        tokio::time::sleep(REOPEN_PAUSE).await;
+        tokio::time::sleep(REOPEN_DELAY).await;
     }
 }
 
@@ -148,8 +152,8 @@
                 return member;
             }
             Err(error) => {
-                tracing::error!(%error, "the data folder cannot be opened");
-                tokio::time::sleep(REOPEN_PAUSE).await;
+                tracing::error!(%error, "cannot open the data folder; retrying");
+                tokio::time::sleep(REOPEN_DELAY).await;
             }
         }
     }
@@ -182,53 +186,54 @@
             pending: IndexMap::new(),
             reads: IndexMap::new(),
             next_read: 0,
-            started: Instant::now(),
+            started_at: Instant::now(),
             was_leader: false,
             planner,
-            repair_due: Instant::now(),
+            next_repair_at: Instant::now(),
         };
         let membership = driver.node.membership().clone();
-        driver.outbox.refresh(driver.node.id(), &membership);
+        driver.outbox.update_queues(driver.node.id(), &membership);
         driver
     }
 
-    /// Returns on a disk failure, or with `None` when nobody can send inputs any more.
-    async fn drive(&mut self, receiver: &mut mpsc::Receiver<ControlInput>) -> Option<DriveEnd> {
-        let mut ticks = tokio::time::interval(TICK);
+    /// Runs until a write to disk fails or the group removes this member. Returns `None` when all
+    /// senders of inputs are dropped.
+    async fn drive(&mut self, receiver: &mut mpsc::Receiver<ControlInput>) -> Option<DriverExit> {
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut batch = Vec::new();
         loop {
             tokio::select! {
-                count = receiver.recv_many(&mut batch, BATCH_LENGTH) => if count == 0 {
+                count = receiver.recv_many(&mut batch, MAX_INPUT_BATCH) => if count == 0 {
                     return None;
                 },
                 _ = ticks.tick() => {}
             }
-            self.node.tick(self.started.elapsed());
+            self.node.tick(self.started_at.elapsed());
             for input in batch.drain(..) {
-                self.take_input(input);
+                self.dispatch_input(input);
             }
-            self.repair();
-            if let Err(error) = self.carry_out().await {
-                return Some(DriveEnd::Disk(error));
+            self.propose_repair();
+            if let Err(error) = self.execute_outputs().await {
+                return Some(DriverExit::DiskFailure(error));
             }
             self.publish_status();
-            if self.is_out() {
-                return Some(DriveEnd::Removed);
+            if self.should_rejoin() {
+                return Some(DriverExit::Removed);
             }
         }
     }
 
-    /// Whether the group has removed this member and it may join anew.
-    fn is_out(&self) -> bool {
+    /// Whether the group has removed this member and the member may join under a new id.
+    fn should_rejoin(&self) -> bool {
         self.planner.is_some() && self.node.status().role == NodeRole::Removed
     }
 
-    fn take_input(&mut self, input: ControlInput) {
+    fn dispatch_input(&mut self, input: ControlInput) {
         match input {
             ControlInput::Messages { reply_to, batch } => {
                 for envelope in batch {
-                    self.outbox.learn(envelope.from, &reply_to);
+                    self.outbox.ensure_queue(envelope.from, &reply_to);
                     self.node.receive(envelope);
                 }
             }
@@ -241,15 +246,15 @@
                 self.reads.insert(token, reply);
                 self.node.read(token);
             }
-            ControlInput::Join { record, reply } => self.note_join(record, reply),
-            ControlInput::Transfer => self.node.transfer_leadership(),
+            ControlInput::Join { record, reply } => self.answer_join_request(record, reply),
+            ControlInput::TransferLeadership => self.node.transfer_leadership(),
         }
     }
 
     fn submit(&mut self, command: CatalogCommand, reply: oneshot::Sender<SubmitReply>) {
         let at = self.shared.clock.borrow().now();
-        let stamped = TimestampedCommand { at, command };
-        let bytes = postcard::to_stdvec(&stamped).expect("in-memory encoding does not fail");
+        let timestamped = TimestampedCommand { at, command };
+        let bytes = postcard::to_stdvec(&timestamped).expect("in-memory encoding does not fail");
         match self.node.propose(bytes) {
             Ok((term, index)) => {
                 self.pending.insert(index, (term, PendingReply::Submit(reply)));
@@ -279,7 +284,7 @@
         }
     }
 
-    fn note_join(&mut self, record: MemberRecord, reply: oneshot::Sender<JoinReply>) {
+    fn answer_join_request(&mut self, record: MemberRecord, reply: oneshot::Sender<JoinReply>) {
         let answer = if !self.node.is_leader() {
             JoinReply::NotLeader { leader: self.leader_address() }
         } else if self.node.membership().get(record.id).is_some() {
@@ -293,20 +298,22 @@
         reply.send(answer).ok();
     }
 
-    /// Proposes the next step of a repair, if this member leads and one is due.
-    fn repair(&mut self) {
+    /// Proposes the next membership change of a repair if this member leads and a check is due.
+    fn propose_repair(&mut self) {
         let now = Instant::now();
-        if !self.node.is_leader() || now < self.repair_due {
+        if !self.node.is_leader() || now < self.next_repair_at {
             return;
         }
-        self.repair_due = now + REPAIR_INTERVAL;
+        self.next_repair_at = now + REPAIR_INTERVAL;
         let status = self.node.status();
-        let own = self.node.id();
+        let own_id = self.node.id();
         let Some(planner) = &mut self.planner else { return };
-        let Some(change) = planner.next_change(&status, own, now) else { return };
+        let Some(change) = planner.next_change(&status, own_id, now) else { return };
         match self.node.change_membership(&change) {
-            Ok(_) => tracing::info!(?change, "the group mends itself"),
-            Err(error) => tracing::debug!(%error, ?change, "a repair has to wait"),
+            Ok(_) => tracing::info!(?change, "proposed a membership change to repair the group"),
+            Err(error) => {
+                tracing::debug!(%error, ?change, "membership change of a repair not proposed")
+            }
         }
     }
 
@@ -315,8 +322,8 @@
         Some(self.node.membership().get(leader)?.address.clone())
     }
 
-    /// Takes outputs until none is left.
-    async fn carry_out(&mut self) -> Result<(), StoreError> {
+    /// Executes the replica's outputs until none is left, and takes a snapshot if one is due.
+    async fn execute_outputs(&mut self) -> Result<(), StoreError> {
         loop {
             let output = self.node.take_output();
             if output.is_empty() {
@@ -325,16 +332,16 @@
                 if output.is_empty() {
                     return Ok(());
                 }
-                self.carry_out_one(output).await?;
+                self.execute_output(output).await?;
                 continue;
             }
-            self.carry_out_one(output).await?;
+            self.execute_output(output).await?;
         }
     }
 
-    async fn carry_out_one(&mut self, output: ReplicaOutput) -> Result<(), StoreError> {
+    async fn execute_output(&mut self, output: ReplicaOutput) -> Result<(), StoreError> {
         let membership = self.node.membership().clone();
-        self.outbox.refresh(self.node.id(), &membership);
+        self.outbox.update_queues(self.node.id(), &membership);
         self.outbox.send(output.send_now);
         if !output.writes.is_empty() {
             self.write(output.writes).await?;
@@ -342,7 +349,7 @@
         self.node.record_sync();
         self.outbox.send(output.send_after_sync);
         if let Some(image) = output.restore {
-            self.restore(&image.data, image.index);
+            self.restore_snapshot(&image.data, image.index);
         }
         for entry in output.committed {
             self.apply(entry);
@@ -355,7 +362,7 @@
         Ok(())
     }
 
-    /// Syncs on a blocking thread; inputs that arrive meanwhile share the next sync.
+    /// Writes and syncs on a blocking thread. Inputs that arrive meanwhile share the next sync.
     async fn write(&mut self, writes: Vec<LogWrite>) -> Result<(), StoreError> {
         let Some(mut store) = self.store.take() else { return Ok(()) };
         let timer = self.shared.metrics.sync_seconds.start_timer();
@@ -363,31 +370,34 @@
             let result = store.write(&writes);
             (store, result)
         });
-        let (store, result) = task.await.expect("the writing task does not panic");
+        let (store, result) = task.await.expect("the write task does not panic");
         timer.observe_duration();
         self.shared.metrics.syncs.inc();
         self.store = Some(store);
         result
     }
 
-    fn restore(&mut self, data: &[u8], index: LogIndex) {
-        match decode(data) {
+    fn restore_snapshot(&mut self, data: &[u8], index: LogIndex) {
+        match decode_snapshot(data) {
             Ok(state) => {
                 self.shared.clock.borrow_mut().observe(state.clock());
                 *self.shared.state.borrow_mut() = state;
-                self.shared.applied.send_replace(index);
+                self.shared.applied_index.send_replace(index);
                 self.publish_revision();
             }
-            Err(error) => tracing::error!(%error, "the leader's snapshot is not a catalog"),
+            Err(error) => {
+                tracing::error!(%error, "cannot decode the leader's snapshot; not applied")
+            }
         }
-        // Whether these were accepted under their own index cannot be told from a snapshot.
+        // A snapshot does not show whether these entries were committed at their index. Dropping a
+        // reply sender makes the handler answer `Unknown`.
         self.pending.retain(|at, _| *at > index);
     }
 
     fn apply(&mut self, entry: LogEntry) {
         self.shared.metrics.commits.inc();
         let pending = self.pending.shift_remove(&entry.index);
-        let (own, pending) = match pending {
+        let (same_term, pending) = match pending {
             Some((term, reply)) if term == entry.term => (true, Some(reply)),
             Some((_, reply)) => (false, Some(reply)),
             None => (false, None),
@@ -396,9 +406,9 @@
             EntryPayload::Command(bytes) => self.apply_command(bytes),
             EntryPayload::Noop | EntryPayload::Membership(_) => None,
         };
-        self.shared.applied.send_replace(entry.index);
+        self.shared.applied_index.send_replace(entry.index);
         match pending {
-            Some(pending) if !own => pending.replaced(),
+            Some(pending) if !same_term => pending.reply_overwritten(),
             Some(PendingReply::Submit(sender)) => {
                 sender.send(reply.unwrap_or(SubmitReply::Unknown)).ok();
             }
@@ -410,16 +420,16 @@
     }
 
     fn apply_command(&mut self, bytes: &[u8]) -> Option<SubmitReply> {
-        let stamped: TimestampedCommand = match postcard::from_bytes(bytes) {
-            Ok(stamped) => stamped,
+        let timestamped: TimestampedCommand = match postcard::from_bytes(bytes) {
+            Ok(timestamped) => timestamped,
             Err(error) => {
-                // Every member fails alike on the same bytes, so skipping keeps them equal.
-                tracing::error!(%error, "an entry is not a command of this release; skipped");
+                // All members fail to decode the same bytes, so skipping keeps their states equal.
+                tracing::error!(%error, "skipped an entry that is no command of this release");
                 return None;
             }
         };
-        self.shared.clock.borrow_mut().observe(stamped.at);
-        let reply = self.shared.state.borrow_mut().apply(&stamped);
+        self.shared.clock.borrow_mut().observe(timestamped.at);
+        let reply = self.shared.state.borrow_mut().apply(&timestamped);
         self.publish_revision();
         Some(SubmitReply::Applied(reply))
     }
@@ -434,25 +444,25 @@
     }
 
     fn snapshot_if_due(&mut self) {
-        let applied = *self.shared.applied.borrow();
-        let behind = applied.0.saturating_sub(self.node.snapshot().index.0);
-        if behind >= self.shared.options.snapshot_every {
+        let applied_index = *self.shared.applied_index.borrow();
+        let entries_since_snapshot = applied_index.0.saturating_sub(self.node.snapshot().index.0);
+        if entries_since_snapshot >= self.shared.options.snapshot_every {
             let data = self.shared.state.borrow().encode();
-            self.node.compact(applied, data);
+            self.node.compact(applied_index, data);
             self.shared.metrics.snapshots.inc();
         }
     }
 
     fn publish_status(&mut self) {
         let status = self.node.status();
-        let leads = self.node.is_leader();
-        if leads && !self.was_leader {
+        let is_leader = self.node.is_leader();
+        if is_leader && !self.was_leader {
             let state = self.shared.state.borrow();
-            self.shared.watchers.borrow_mut().start_leading(state.view());
+            self.shared.watchers.borrow_mut().restart_timeouts(state.view());
         }
-        self.was_leader = leads;
+        self.was_leader = is_leader;
         self.shared.metrics.term.set(status.term.0 as i64);
-        self.shared.metrics.is_leader.set(i64::from(leads));
+        self.shared.metrics.is_leader.set(i64::from(is_leader));
         self.shared.metrics.revision.set(self.shared.revision.borrow().0 as i64);
         *self.shared.status.borrow_mut() = Some(status);
     }
--- a/crates/control/src/group_tasks.rs
+++ b/crates/control/src/group_tasks.rs
@@ -1,8 +1,8 @@
-//! What a member does about its group beside the log: asks to belong to it, begins anew after it was
-//! removed, and tells the leader which entries watch.
+//! Tasks of a member beside the log: requests to join the group, rejoins under a new id after its
+//! removal, and reports to the leader which entries watch the configuration.
 
 use crate::{
-    driver::{ControlInput, REOPEN_PAUSE},
+    driver::{ControlInput, REOPEN_DELAY},
     runtime::ControlShared,
 };
 use egretseam_catalog::CatalogCommand;
@@ -11,48 +11,49 @@
 use std::{rc::Weak, time::Duration};
 use tokio::sync::oneshot;
 
-/// How often members tell the leader which entries watch, and the leader looks for silent ones.
-const WATCHER_INTERVAL: Duration = Duration::from_secs(3);
-/// How often a member that does not belong to the group asks to.
-const JOIN_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval at which members report to the leader which entries watch, and at which the leader
+/// expires entries whose watch has timed out.
+const WATCHER_REPORT_INTERVAL: Duration = Duration::from_secs(3);
+/// Interval at which a member that does not belong to the group requests to join.
+const JOIN_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Begins anew as a member that the group does not know, after it removed the former one.
+/// Reinitialises the data folder under a new member id after the group removed the previous one.
 pub(crate) async fn rejoin(shared: &ControlShared) {
     let Some(formation) = &shared.options.formation else { return };
-    tracing::warn!("the group removed this member while it was away; it joins anew");
+    tracing::warn!("the group removed this member; rejoining under a new id");
     let renewed = LogStore::discard(&shared.options.folder)
         .and_then(|()| formation.initialise_joining(&shared.options));
     if let Err(error) = renewed {
-        tracing::error!(%error, "the data folder cannot be initialised anew");
-        tokio::time::sleep(REOPEN_PAUSE).await;
+        tracing::error!(%error, "cannot reinitialise the data folder");
+        tokio::time::sleep(REOPEN_DELAY).await;
     }
 }
 
-/// Asks to belong to the group for as long as this member does not.
-pub(crate) async fn ask_to_join(shared: Weak<ControlShared>) {
+/// Sends join requests for as long as this member does not belong to the group.
+pub(crate) async fn request_join(shared: Weak<ControlShared>) {
     loop {
-        tokio::time::sleep(JOIN_INTERVAL).await;
+        tokio::time::sleep(JOIN_REQUEST_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let Some(formation) = &shared.options.formation else { return };
-        let Some(record) = stranger_record(&shared) else { continue };
+        let Some(record) = non_member_record(&shared) else { continue };
         let seeds = formation.seeds.borrow().clone();
         for seed in seeds.iter().filter(|seed| **seed != shared.options.peer_address) {
-            match ask_at(&shared, seed, &record).await {
+            match send_join_request(&shared, seed, &record).await {
                 Ok(JoinReply::NotLeader { leader: Some(leader) }) => {
-                    if let Err(error) = ask_at(&shared, &leader, &record).await {
-                        tracing::debug!(%error, "the leader could not be asked");
+                    if let Err(error) = send_join_request(&shared, &leader, &record).await {
+                        tracing::debug!(%error, "join request to the leader failed");
                     }
                     break;
                 }
                 Ok(JoinReply::NotLeader { leader: None }) => {}
                 Ok(JoinReply::Noted | JoinReply::Member) => break,
-                Err(error) => tracing::debug!(%error, "a seed could not be asked"),
+                Err(error) => tracing::debug!(%error, "join request to a seed failed"),
             }
         }
     }
 }
 
-async fn ask_at(
+async fn send_join_request(
     shared: &ControlShared,
     address: &str,
     record: &MemberRecord,
@@ -61,8 +62,8 @@
     link.join(record.clone()).await
 }
 
-/// This member's record, if its own log does not say that it belongs to the group.
-fn stranger_record(shared: &ControlShared) -> Option<MemberRecord> {
+/// This member's record for a join request, or `None` if the membership in its log contains it.
+fn non_member_record(shared: &ControlShared) -> Option<MemberRecord> {
     let status = shared.status.borrow();
     let status = status.as_ref()?;
     if status.membership.get(status.id).is_some() {
@@ -73,16 +74,16 @@
     Some(MemberRecord { id: status.id, name, address, voter: false })
 }
 
-/// Passes on which entries watch; at the leader, removes silent ones.
-pub(crate) async fn watch_entries(shared: Weak<ControlShared>) {
+/// Reports to the leader which entries watch here; at the leader, expires silent entries.
+pub(crate) async fn report_watchers(shared: Weak<ControlShared>) {
     let mut link: Option<ControlLink> = None;
     loop {
-        tokio::time::sleep(WATCHER_INTERVAL).await;
+        tokio::time::sleep(WATCHER_REPORT_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let status = shared.status.borrow().clone();
         let Some(status) = status else { continue };
         if status.role == NodeRole::Leader {
-            expire_silent(&shared);
+            expire_silent_entries(&shared);
             continue;
         }
         let leader = status.leader.and_then(|id| status.membership.get(id).cloned());
@@ -96,15 +97,15 @@
             && !reports.is_empty()
             && let Err(error) = link.note_watchers(reports).await
         {
-            tracing::debug!(%error, "the leader was not told of watching entries");
+            tracing::debug!(%error, "report of watching entries to the leader failed");
         }
     }
 }
 
-fn expire_silent(shared: &ControlShared) {
-    let silent = shared.watchers.borrow_mut().silent(shared.state.borrow().view());
+fn expire_silent_entries(shared: &ControlShared) {
+    let silent = shared.watchers.borrow_mut().silent_entries(shared.state.borrow().view());
     for (name, incarnation) in silent {
-        tracing::info!(%name, "an entry went silent and leaves the addresses");
+        tracing::info!(%name, "watch of an entry timed out; removing the entry");
         let (reply, _) = oneshot::channel();
         let command = CatalogCommand::ExpireEntry { name, incarnation };
         shared.inbox.try_send(ControlInput::Submit { command, reply }).ok();
--- a/crates/control/src/handler.rs
+++ b/crates/control/src/handler.rs
@@ -1,4 +1,4 @@
-//! Answers calls of peers and entries.
+//! RPC service for peers and entries.
 
 use crate::{driver::ControlInput, runtime::ControlShared};
 use egretseam_catalog::{CatalogCommand, CatalogState, HistoryRecord};
@@ -12,14 +12,15 @@
 use tarpc::context::Context;
 use tokio::sync::{oneshot, watch};
 
-/// How long a command may wait for its quorum before the caller is told that nobody knows.
-const COMMIT_LIMIT: Duration = Duration::from_millis(1_800);
-/// How long a read may wait for its confirmation.
-const CONFIRM_LIMIT: Duration = Duration::from_millis(1_500);
-/// Longest wait for a change that a watch may ask for.
-const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Time that a command may wait for its commit. After it the reply is `Unknown`: the command may
+/// still be committed.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Time that a linearizable read may wait for its confirmation and for the log to be applied.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Upper bound for the wait of a watch for a change.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
-/// Answers one control member's calls.
+/// RPC service of one control member.
 #[derive(Clone)]
 pub struct ControlHandler {
     shared: Rc<ControlShared>,
@@ -30,14 +31,15 @@
         Self { shared }
     }
 
-    /// The state at this member; what it holds may be behind, see [`ControlHandler::confirm_read`].
+    /// State of the catalog at this member. It may lag behind the group unless
+    /// [`ControlHandler::confirm_read`] was awaited first.
     pub fn state(&self) -> std::cell::Ref<'_, CatalogState> {
         self.shared.state.borrow()
     }
 
     /// Index of the last entry applied at this member.
     pub fn applied_index(&self) -> watch::Receiver<LogIndex> {
-        self.shared.applied.subscribe()
+        self.shared.applied_index.subscribe()
     }
 
     /// State of the log at this member, once its driver has run.
@@ -45,29 +47,32 @@
         self.shared.status.borrow().clone()
     }
 
-    /// Confirms that this member's state covers everything accepted before now.
+    /// Waits until this member's state contains everything that was committed before the call
+    /// (linearizable read). Returns the index that it covers, or `None` if that could not be
+    /// confirmed in time.
     pub async fn confirm_read(&self) -> Option<LogIndex> {
         let (reply, confirmed) = oneshot::channel();
         self.shared.inbox.try_send(ControlInput::Read { reply }).ok()?;
         let confirmation = async {
             let index = confirmed.await.ok().flatten()?;
-            let mut applied = self.shared.applied.subscribe();
+            let mut applied = self.shared.applied_index.subscribe();
             applied.wait_for(|applied| *applied >= index).await.ok()?;
             Some(index)
         };
-        tokio::time::timeout(CONFIRM_LIMIT, confirmation).await.ok().flatten()
+        tokio::time::timeout(READ_TIMEOUT, confirmation).await.ok().flatten()
     }
 
-    async fn wait_for_change(&self, held: Revision, wait: Duration) {
+    async fn wait_for_change(&self, held_revision: Revision, wait: Duration) {
         let mut revision = self.shared.revision.subscribe();
-        let change = revision.wait_for(|revision| *revision > held);
-        tokio::time::timeout(wait.min(MAX_WAIT), change).await.ok();
+        let change = revision.wait_for(|revision| *revision > held_revision);
+        tokio::time::timeout(wait.min(MAX_WATCH_WAIT), change).await.ok();
     }
 }
 
 impl ControlService for ControlHandler {
     async fn deliver(self, _: Context, reply_to: String, batch: Vec<Envelope>) {
-        // A full inbox drops messages, which the log tolerates; waiting would stall the peer.
+        // Messages are dropped if the inbox is full, which replication tolerates; waiting would
+        // stall the peer.
         if self.shared.inbox.try_send(ControlInput::Messages { reply_to, batch }).is_err() {
             self.shared.metrics.dropped.inc();
         }
@@ -79,16 +84,16 @@
         if self.shared.inbox.try_send(input).is_err() {
             return SubmitReply::Busy;
         }
-        match tokio::time::timeout(COMMIT_LIMIT, outcome).await {
+        match tokio::time::timeout(COMMIT_TIMEOUT, outcome).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(_)) | Err(_) => SubmitReply::Unknown,
         }
     }
 
     async fn watch(self, _: Context, call: WatchCall) -> WatchReply {
-        self.shared.watchers.borrow_mut().note(&call);
+        self.shared.watchers.borrow_mut().record_watch(&call);
         self.wait_for_change(call.held, Duration::from_millis(call.wait_millis)).await;
-        self.shared.watchers.borrow_mut().note(&call);
+        self.shared.watchers.borrow_mut().record_watch(&call);
         if self.confirm_read().await.is_none() {
             return WatchReply::Unconfirmed;
         }
@@ -98,7 +103,7 @@
     }
 
     async fn note_watchers(self, _: Context, reports: Vec<WatcherReport>) {
-        self.shared.watchers.borrow_mut().merge(reports);
+        self.shared.watchers.borrow_mut().merge_reports(reports);
     }
 
     async fn change_members(self, _: Context, call: MemberCall) -> MemberReply {
@@ -107,7 +112,7 @@
         if self.shared.inbox.try_send(input).is_err() {
             return MemberReply::Refused("the member is busy".to_owned());
         }
-        match tokio::time::timeout(COMMIT_LIMIT, outcome).await {
+        match tokio::time::timeout(COMMIT_TIMEOUT, outcome).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(_)) | Err(_) => MemberReply::Unknown,
         }
--- a/crates/control/src/outbox.rs
+++ b/crates/control/src/outbox.rs
@@ -1,4 +1,4 @@
-//! One queue and one sending task for each peer.
+//! Outgoing messages: one queue and one sending task per peer.
 
 use egretseam_replica::{Envelope, MemberId, Membership};
 use egretseam_rpc::{ControlLink, LinkOptions, PeerSecret};
@@ -7,21 +7,23 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Most messages waiting for one peer; further ones are dropped, which the log tolerates.
-const QUEUE_LENGTH: usize = 1_024;
-/// Most messages in one call.
-const BATCH_LENGTH: usize = 128;
-/// Most peers, present and former.
-const MAX_QUEUES: usize = 64;
-/// Pause after a failed call, so that a dead peer costs little.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(100);
+/// Maximum number of messages queued for one peer; further ones are dropped, which replication
+/// tolerates.
+const PEER_QUEUE_CAPACITY: usize = 1_024;
+/// Maximum number of messages in one call.
+const MAX_CALL_MESSAGES: usize = 128;
+/// Maximum number of queues, including those of former members, up to which a sender that is not in
+/// the membership gets one.
+const MAX_PEER_QUEUES: usize = 64;
+/// Delay after a failed call, so that an unreachable peer costs few connection attempts.
+const DELAY_AFTER_FAILURE: Duration = Duration::from_millis(100);
 
 struct PeerQueue {
     address: String,
     sender: mpsc::Sender<Envelope>,
 }
 
-/// Queues to all peers of one member.
+/// Queues to all peers of one control member.
 pub(crate) struct OutboxTable {
     own_address: String,
     secret: PeerSecret,
@@ -41,10 +43,10 @@
         Self { own_address, secret, options, queues: IndexMap::new(), dropped }
     }
 
-    /// Matches the queues to the membership in force. Queues of former members stay while their
-    /// task lives, so that a removed member can still be told.
-    pub(crate) fn refresh(&mut self, own: MemberId, membership: &Membership) {
-        for member in membership.members().filter(|member| member.id != own) {
+    /// Creates a queue for each new or moved peer of the membership in force. Queues of former
+    /// members are kept, so that a removed member can still be notified.
+    pub(crate) fn update_queues(&mut self, own_id: MemberId, membership: &Membership) {
+        for member in membership.members().filter(|member| member.id != own_id) {
             let known = self.queues.get(&member.id);
             if known.is_none_or(|queue| queue.address != member.address) {
                 let queue = self.spawn_sender(&member.address);
@@ -53,9 +55,10 @@
         }
     }
 
-    /// Notes where a sender that is not yet in the membership can be answered.
-    pub(crate) fn learn(&mut self, from: MemberId, address: &str) {
-        if !self.queues.contains_key(&from) && self.queues.len() < MAX_QUEUES {
+    /// Creates a queue for a sender that has none, so that a member that is not yet in the
+    /// membership can be answered.
+    pub(crate) fn ensure_queue(&mut self, from: MemberId, address: &str) {
+        if !self.queues.contains_key(&from) && self.queues.len() < MAX_PEER_QUEUES {
             let queue = self.spawn_sender(address);
             self.queues.insert(from, queue);
         }
@@ -64,15 +67,15 @@
     pub(crate) fn send(&self, envelopes: Vec<Envelope>) {
         for envelope in envelopes {
             let queue = self.queues.get(&envelope.to);
-            let sent = queue.is_some_and(|queue| queue.sender.try_send(envelope).is_ok());
-            if !sent {
+            let queued = queue.is_some_and(|queue| queue.sender.try_send(envelope).is_ok());
+            if !queued {
                 self.dropped.inc();
             }
         }
     }
 
     fn spawn_sender(&self, address: &str) -> PeerQueue {
-        let (sender, receiver) = mpsc::channel(QUEUE_LENGTH);
+        let (sender, receiver) = mpsc::channel(PEER_QUEUE_CAPACITY);
         let link = ControlLink::new(address, self.secret, self.options);
         let reply_to = self.own_address.clone();
         actix_rt::spawn(send_loop(link, reply_to, receiver, self.dropped.clone()));
@@ -86,13 +89,13 @@
     mut receiver: mpsc::Receiver<Envelope>,
     dropped: IntCounter,
 ) {
-    let mut batch = Vec::with_capacity(BATCH_LENGTH);
-    while receiver.recv_many(&mut batch, BATCH_LENGTH).await > 0 {
+    let mut batch = Vec::with_capacity(MAX_CALL_MESSAGES);
+    while receiver.recv_many(&mut batch, MAX_CALL_MESSAGES).await > 0 {
         let count = batch.len() as u64;
         if let Err(error) = link.deliver(&reply_to, std::mem::take(&mut batch)).await {
-            tracing::debug!(%error, "messages to a peer were lost");
+            tracing::debug!(%error, "delivery to a peer failed; messages dropped");
             dropped.inc_by(count);
-            tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
+            tokio::time::sleep(DELAY_AFTER_FAILURE).await;
         }
     }
 }
--- a/crates/control/src/runtime.rs
+++ b/crates/control/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a control member, and the state that its tasks share.
+//! Start and stop of a control member, and the state that its tasks share.
 
 use crate::{
     clock::LogClock,
@@ -28,35 +28,36 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, watch};
 
-/// Most inputs waiting for the driver; beyond it calls are answered `Busy`.
-const INBOX_LENGTH: usize = 8_192;
+/// Maximum number of inputs queued for the driver. Beyond it submitted commands are answered
+/// `Busy`, and messages of peers are dropped.
+const INBOX_CAPACITY: usize = 8_192;
 
 /// Why a control member could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The data folder cannot be used.
+    /// The data folder cannot be opened or initialised.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The snapshot in the data folder is not a catalog.
+    /// The snapshot in the data folder cannot be decoded as a catalog.
     #[error("data folder {folder}: {detail}")]
     Snapshot {
-        /// The folder.
+        /// The data folder.
         folder: PathBuf,
-        /// What was found.
+        /// The decoding error.
         detail: String,
     },
-    /// The listener cannot be used.
+    /// The peer listener cannot be served.
     #[error("control listener: {0}")]
     Listener(#[from] io::Error),
 }
 
-/// How a group forms without an operator.
+/// How a group forms and repairs itself without an operator.
 #[derive(Clone, Debug)]
 pub struct GroupFormation {
-    /// `host:port` of the members to found a group with, or to ask for admission. Changed when the
-    /// settings change.
+    /// `host:port` of the members to bootstrap a group with, or to send join requests to. Updated
+    /// when the settings change.
     pub seeds: Rc<RefCell<Vec<String>>>,
-    /// Whether the whole system starts for the first time; otherwise an empty folder means a lost
+    /// Whether the system starts for the first time. Otherwise an empty data folder means a lost
     /// disk or a new member.
     pub founding: bool,
     /// When the group replaces its members.
@@ -64,18 +65,18 @@
 }
 
 impl GroupFormation {
-    /// Initialises an empty folder as a member that the group does not know.
+    /// Initialises an empty data folder with a random member id, to join a group later.
     pub(crate) fn initialise_joining(&self, options: &ControlOptions) -> Result<(), StoreError> {
         let identity = LogStore::init_joining(&options.folder, MemberId(rand::random()))?;
-        tracing::info!(id = %identity.id, "initialised a data folder to join the group");
+        tracing::info!(id = %identity.id, "initialised the data folder to join the group");
         Ok(())
     }
 
-    /// Initialises the folder of a member, unless it is initialised already.
+    /// Initialises the data folder of a member unless it is initialised already.
     ///
-    /// Founders derive their ids and the group's from the addresses that all of them were given,
-    /// so they need not meet before they begin. Failure guarded: a member that lost its disk must
-    /// not vote as its former self. It comes back without `founding` and draws a random id.
+    /// Founders derive their own ids and the group's from the seed addresses, so they agree on them
+    /// without exchanging messages. A member that lost its disk must not vote under its previous
+    /// identity: it starts without `founding` and gets a random id.
     pub(crate) fn initialise(&self, options: &ControlOptions) -> Result<(), StoreError> {
         let seeds = self.seeds.borrow();
         let founds = self.founding && seeds.contains(&options.peer_address);
@@ -103,7 +104,7 @@
         };
         match result {
             Ok(identity) => {
-                tracing::info!(id = %identity.id, "initialised a data folder as a founder");
+                tracing::info!(id = %identity.id, "initialised the data folder as a founder");
                 Ok(())
             }
             Err(StoreError::AlreadyInitialised(_)) => Ok(()),
@@ -112,7 +113,7 @@
     }
 }
 
-/// FNV-1a over the address; ids only need to differ within a group.
+/// FNV-1a hash of the address. Ids only need to differ within a group.
 fn founder_id(address: &str) -> MemberId {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -123,24 +124,24 @@
 /// Settings of a control member.
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
-    /// Instance name, for status pages.
+    /// Instance name, shown on status pages.
     pub name: String,
-    /// Data folder, initialised.
+    /// Data folder; initialised beforehand if `formation` is `None`.
     pub folder: PathBuf,
     /// `host:port` at which peers reach this member.
     pub peer_address: String,
-    /// Shared secret of our processes.
+    /// Secret that all processes of the system share.
     pub secret: PeerSecret,
-    /// Timing of the log.
+    /// Timing and limits of the replica.
     pub replica: ReplicaConfig,
-    /// Entries behind the snapshot after which a new one is made.
+    /// Number of entries applied since the last snapshot at which a new one is taken.
     pub snapshot_every: u64,
-    /// How the group forms and mends itself; `None` leaves both to operators.
+    /// How the group forms and repairs itself; `None` leaves both to operators.
     pub formation: Option<GroupFormation>,
 }
 
 impl ControlOptions {
-    /// Options with the usual timing.
+    /// Options with default timing and without automatic formation.
     pub fn new(name: &str, folder: PathBuf, peer_address: &str, secret: PeerSecret) -> Self {
         Self {
             name: name.to_owned(),
@@ -154,7 +155,7 @@
     }
 }
 
-/// Counters of a control member.
+/// Metrics of a control member.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlMetrics {
     pub(crate) commits: IntCounter,
@@ -186,7 +187,8 @@
     }
 }
 
-/// What the driver writes and the handlers read. All on one thread.
+/// State shared by the driver, which writes it, and the handlers, which read it. All run on one
+/// thread.
 pub(crate) struct ControlShared {
     pub(crate) options: ControlOptions,
     pub(crate) link_options: LinkOptions,
@@ -195,7 +197,7 @@
     pub(crate) status: RefCell<Option<NodeStatus>>,
     pub(crate) clock: RefCell<LogClock>,
     pub(crate) watchers: RefCell<WatcherTable>,
-    pub(crate) applied: watch::Sender<LogIndex>,
+    pub(crate) applied_index: watch::Sender<LogIndex>,
     pub(crate) revision: watch::Sender<Revision>,
     pub(crate) metrics: ControlMetrics,
     pub(crate) healthy: Cell<bool>,
@@ -223,7 +225,7 @@
             formation.initialise(&options)?;
         }
         let opened = driver::open(&options)?;
-        let (inbox, receiver) = mpsc::channel(INBOX_LENGTH);
+        let (inbox, receiver) = mpsc::channel(INBOX_CAPACITY);
         let clock = opened.state.clock();
         let revision = opened.state.view().revision;
         let secret = options.secret;
@@ -234,7 +236,7 @@
             status: RefCell::new(None),
             clock: RefCell::new(LogClock::new(clock)),
             watchers: RefCell::default(),
-            applied: watch::Sender::new(LogIndex(0)),
+            applied_index: watch::Sender::new(LogIndex(0)),
             revision: watch::Sender::new(revision),
             metrics: ControlMetrics::new(metrics),
             healthy: Cell::new(true),
@@ -243,8 +245,8 @@
         let handler = ControlHandler::new(shared.clone());
         let server = serve_control(listener, secret, RpcOptions::default(), handler.clone())?;
         let driver = actix_rt::spawn(driver::run(shared.clone(), opened, receiver));
-        actix_rt::spawn(group_tasks::watch_entries(Rc::downgrade(&shared)));
-        actix_rt::spawn(group_tasks::ask_to_join(Rc::downgrade(&shared)));
+        actix_rt::spawn(group_tasks::report_watchers(Rc::downgrade(&shared)));
+        actix_rt::spawn(group_tasks::request_join(Rc::downgrade(&shared)));
         Ok(Self { shared, server, handler, driver: Some(driver) })
     }
 
@@ -263,28 +265,29 @@
         *self.shared.revision.borrow()
     }
 
-    /// The member's calls and state, for other parts of the same process.
+    /// The RPC service and state of the member, for other parts of the same process.
     pub fn handler(&self) -> &ControlHandler {
         &self.handler
     }
 
-    /// Whether the disk takes writes.
+    /// Whether the data folder is usable: `false` from a failed write until the folder is reopened.
     pub fn is_healthy(&self) -> bool {
         self.shared.healthy.get()
     }
 
-    /// Hands leadership over if held, then stops the driver. What was acknowledged is on disk.
+    /// Transfers leadership if this member leads, then stops the driver. Acknowledged commands are
+    /// on disk.
     pub async fn stop(mut self) {
-        const HANDOVER: Duration = Duration::from_millis(300);
+        const HANDOVER_WAIT: Duration = Duration::from_millis(300);
         if self.status().is_some_and(|status| status.role == egretseam_replica::NodeRole::Leader)
-            && self.shared.inbox.send(ControlInput::Transfer).await.is_ok()
+            && self.shared.inbox.send(ControlInput::TransferLeadership).await.is_ok()
         {
-            tokio::time::sleep(HANDOVER).await;
+            tokio::time::sleep(HANDOVER_WAIT).await;
         }
         self.abort();
     }
 
-    /// Stops at once, as a crash would.
+    /// Stops the driver immediately, as a crash would.
     pub fn abort(&mut self) {
         if let Some(driver) = self.driver.take() {
             driver.abort();
--- a/crates/control/src/watchers.rs
+++ b/crates/control/src/watchers.rs
@@ -1,4 +1,5 @@
-//! Which entries watch, so that silent ones leave the list that callers are given.
+//! Records which entries watch the configuration, so that silent ones are removed from the
+//! addresses that callers get.
 
 use egretseam_catalog::ConfigView;
 use egretseam_proto::{Incarnation, InstanceName, Revision};
@@ -7,8 +8,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Silence after which an entry is taken off the list.
-pub(crate) const SILENCE_LIMIT: Duration = Duration::from_secs(15);
+/// Time without a watch after which an entry is removed from the configuration.
+pub(crate) const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
 
 struct WatcherRow {
     incarnation: Incarnation,
@@ -16,26 +17,26 @@
     seen_at: Instant,
 }
 
-/// Last watch of each entry.
+/// Last known watch of each entry.
 #[derive(Default)]
 pub(crate) struct WatcherTable {
     rows: IndexMap<InstanceName, WatcherRow>,
 }
 
 impl WatcherTable {
-    /// Notes a watch at this member.
-    pub(crate) fn note(&mut self, call: &WatchCall) {
+    /// Records a watch at this member.
+    pub(crate) fn record_watch(&mut self, call: &WatchCall) {
         let row =
             WatcherRow { incarnation: call.incarnation, held: call.held, seen_at: Instant::now() };
         self.rows.insert(call.entry.clone(), row);
     }
 
-    /// Merges what another member saw.
-    pub(crate) fn merge(&mut self, reports: Vec<WatcherReport>) {
+    /// Merges the watches that another member reports; of each entry the later one is kept.
+    pub(crate) fn merge_reports(&mut self, reports: Vec<WatcherReport>) {
         let now = Instant::now();
         for report in reports {
-            let silent = Duration::from_millis(report.silent_millis);
-            let Some(seen_at) = now.checked_sub(silent) else { continue };
+            let silent_for = Duration::from_millis(report.silent_millis);
+            let Some(seen_at) = now.checked_sub(silent_for) else { continue };
             let known = self.rows.get(&report.entry);
             if known.is_none_or(|row| row.seen_at < seen_at) {
                 let row =
@@ -45,7 +46,7 @@
         }
     }
 
-    /// What this member knows, for the leader and for status pages.
+    /// All known watches, for the leader and for status pages.
     pub(crate) fn reports(&self) -> Vec<WatcherReport> {
         let report = |(entry, row): (&InstanceName, &WatcherRow)| WatcherReport {
             entry: entry.clone(),
@@ -56,9 +57,9 @@
         self.rows.iter().map(report).collect()
     }
 
-    /// Gives entries that this member never saw a full time limit from now on; done by a new
-    /// leader, which has yet to hear from the other members.
-    pub(crate) fn start_leading(&mut self, view: &ConfigView) {
+    /// Restarts the timeout of all entries of the configuration. A new leader calls this because it
+    /// has not yet received the reports of the other members.
+    pub(crate) fn restart_timeouts(&mut self, view: &ConfigView) {
         let now = Instant::now();
         for (name, record) in &view.entries {
             let row =
@@ -67,12 +68,13 @@
         }
     }
 
-    /// Entries on the list that have been silent too long; forgets those no longer on it.
-    pub(crate) fn silent(&mut self, view: &ConfigView) -> Vec<(InstanceName, Incarnation)> {
-        let silent = |row: &WatcherRow| row.seen_at.elapsed() > SILENCE_LIMIT;
-        self.rows.retain(|name, row| view.entries.contains_key(name) || !silent(row));
+    /// Returns the entries of the configuration whose watch has timed out or is unknown. Forgets
+    /// timed out watches of entries that are no longer in the configuration.
+    pub(crate) fn silent_entries(&mut self, view: &ConfigView) -> Vec<(InstanceName, Incarnation)> {
+        let timed_out = |row: &WatcherRow| row.seen_at.elapsed() > WATCH_TIMEOUT;
+        self.rows.retain(|name, row| view.entries.contains_key(name) || !timed_out(row));
         let listed = view.entries.iter();
-        let expired = listed.filter(|(name, _)| self.rows.get(*name).is_none_or(silent));
+        let expired = listed.filter(|(name, _)| self.rows.get(*name).is_none_or(timed_out));
         expired.map(|(name, record)| (name.clone(), record.incarnation)).collect()
     }
 }
