--- a/crates/registrar/src/front.rs
+++ b/crates/registrar/src/front.rs
@@ -288,7 +288,7 @@
 }
 
 async fn read_config(shared: &RegistrarShared) -> ControlResponse {
-    if shared.control.confirm().await.is_none() {
+    if shared.control.confirm_read().await.is_none() {
         shared.metrics.reads_unavailable.inc();
         return ControlResponse::Unavailable("the newest configuration cannot be confirmed");
     }
--- a/crates/registrar/src/publish.rs
+++ b/crates/registrar/src/publish.rs
@@ -20,7 +20,7 @@
 /// Applies configurations and published versions as the log commits them.
 pub(crate) async fn watch_log(shared: Weak<RegistrarShared>) {
     let Some(state) = shared.upgrade() else { return };
-    let mut applied = state.control.applied();
+    let mut applied = state.control.applied_index();
     drop(state);
     loop {
         {
