--- a/crates/agent/src/follower.rs
+++ b/crates/agent/src/follower.rs
@@ -206,7 +206,7 @@
         revision: record.revision,
         zone: shared.options.zone.clone(),
         in_service,
-        hold_millis: shared.options.switch_limit.as_millis() as u64,
+        hold_millis: shared.options.switch_timeout.as_millis() as u64,
     };
     let asked = Instant::now();
     let grant = match submit(shared, &CatalogCommand::BeginSwitch(request)).await {
@@ -219,7 +219,7 @@
     };
     // Counted from before the grant was asked for, so it ends here before it ends in the log.
     let until =
-        asked + shared.options.switch_limit - GRANT_RESERVE.min(shared.options.switch_limit / 2);
+        asked + shared.options.switch_timeout - GRANT_RESERVE.min(shared.options.switch_timeout / 2);
     let outcome = carry_out(shared, &grant, wanted, parts, until).await;
     if let SwitchOutcome::Failed { reason } = &outcome {
         shared.counters.loads_failed.inc();
@@ -231,7 +231,7 @@
         fence: grant.fence,
         outcome,
     };
-    report_end(shared, &end, asked + shared.options.switch_limit).await;
+    report_end(shared, &end, asked + shared.options.switch_timeout).await;
     true
 }
 
@@ -267,7 +267,7 @@
     if !shared.stopping.get() {
         shared.set_state(TargetState::Switching);
     }
-    let patience = shared.options.drain_limit.min(until.saturating_duration_since(Instant::now()));
+    let patience = shared.options.drain_timeout.min(until.saturating_duration_since(Instant::now()));
     if !shared.drained(patience).await || shared.stopping.get() {
         return SwitchOutcome::Abandoned;
     }
--- a/crates/agent/src/runtime.rs
+++ b/crates/agent/src/runtime.rs
@@ -90,9 +90,9 @@
     /// Limits of transfers.
     pub transfer: TransferOptions,
     /// How long a switch may take, from its grant to the engine's report.
-    pub switch_limit: Duration,
+    pub switch_timeout: Duration,
     /// How long requests in progress may take to end before a switch or stop.
-    pub drain_limit: Duration,
+    pub drain_timeout: Duration,
 }
 
 impl AgentOptions {
@@ -127,8 +127,8 @@
             link_bytes_per_second: None,
             upload_slots: 6,
             transfer: TransferOptions::default(),
-            switch_limit: Duration::from_secs(600),
-            drain_limit: Duration::from_secs(600),
+            switch_timeout: Duration::from_secs(600),
+            drain_timeout: Duration::from_secs(600),
         }
     }
 }
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -266,7 +266,7 @@
     options.store_address = agent.store_address.clone();
     options.disk_budget = agent.disk_budget_bytes;
     options.link_bytes_per_second = agent.link_bytes_per_second;
-    options.switch_limit = agent.switch_limit;
+    options.switch_timeout = agent.switch_limit;
     options.transfer.policy.scheme = match agent.distribution {
         DistributionSetting::Swarm => DistributionScheme::Swarm,
         DistributionSetting::OriginOnly => DistributionScheme::OriginOnly,
