--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -295,7 +295,7 @@
         version,
         routes = config.routes.len(),
         bytes = packed.size(),
-        whole = packed.is_whole(),
+        whole = packed.is_full(),
         "configuration applied"
     );
     shared.metrics.config_version.set(config.version as i64);
--- a/crates/registrar/src/feed.rs
+++ b/crates/registrar/src/feed.rs
@@ -174,7 +174,7 @@
     let packed = packed?;
     let metrics = &shared.metrics;
     let counter =
-        if packed.is_whole() { &metrics.configs_whole } else { &metrics.configs_difference };
+        if packed.is_full() { &metrics.configs_whole } else { &metrics.configs_difference };
     counter.inc();
     Some(packed)
 }
