--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -14,44 +14,44 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicyOverrides {
     /// Requests that are late already: places that they may fill, as a multiple of a target's.
-    pub late_fill: Option<f64>,
+    pub late_max_fill: Option<f64>,
     /// The same: prompts that each target may have to read at a time.
-    pub late_reading: Option<f64>,
+    pub late_prefills: Option<f64>,
     /// Charge for a target in another availability zone; 0 for none.
-    pub zone_charge: Option<f64>,
+    pub cross_zone_penalty: Option<f64>,
     /// Power of the free part of a target's places by which it is drawn; 0 draws evenly.
-    pub favour: Option<u64>,
+    pub free_share_exponent: Option<u64>,
     /// Charge for a target that will soon switch weights; 0 for none.
-    pub old_version_charge: Option<f64>,
+    pub old_version_penalty: Option<f64>,
     /// Charge for a slow target; 0 for none.
-    pub slow_charge: Option<f64>,
+    pub slowness_penalty: Option<f64>,
     /// Charge for a target that started a moment ago; 0 for none.
-    pub cold_charge: Option<f64>,
+    pub cold_start_penalty: Option<f64>,
     /// Whether each entry keeps to its part of an engine's places.
-    pub shared_places: Option<bool>,
+    pub limits_entry_share: Option<bool>,
     /// Whether targets that seem to hang are left out.
-    pub skips_hanging: Option<bool>,
+    pub skips_hung: Option<bool>,
     /// Whether targets that fail often are ejected.
     pub ejects: Option<bool>,
     /// Longest wait of a request that is late already.
-    pub late_wait: Option<Duration>,
+    pub late_limit: Option<Duration>,
     /// Longest wait for the end of an outage; 0 rejects at once.
-    pub outage_wait: Option<Duration>,
+    pub outage_limit: Option<Duration>,
     /// Part of the latency objective within which requests are rejected while many are; 1 for no
     /// hurry.
-    pub quick_share: Option<f64>,
+    pub overload_objective_share: Option<f64>,
     /// Whether retries are detected by their deadline.
     pub detects_retries: Option<bool>,
     /// Most targets that one request may be sent to, below what its route allows.
-    pub most_attempts: Option<u64>,
+    pub max_attempts: Option<u64>,
     /// How long callers of streams stay without an event, at the least.
-    pub callers_stay: Option<Duration>,
+    pub stream_idle_timeout: Option<Duration>,
     /// Whether entries hear from agents how busy targets are.
-    pub hears_loads: Option<bool>,
+    pub uses_load_datagrams: Option<bool>,
     /// How long callers of other zones may keep an answer of the directory.
-    pub far_lifetime: Option<Duration>,
+    pub cross_zone_address_lifetime: Option<Duration>,
     /// Agents that fetch a version from the origin.
-    pub seeders: Option<u64>,
+    pub max_seeders: Option<u64>,
     /// Part of an instance's link that chunks for other agents may take.
     pub upload_share: Option<f64>,
     /// Whether chunks are fetched while the engine still starts.
@@ -62,25 +62,25 @@
 
 pub(crate) fn read(reader: &mut SectionReader<'_>) -> Option<PolicyOverrides> {
     Some(PolicyOverrides {
-        late_fill: weight(reader, "late_fill"),
-        late_reading: weight(reader, "late_reading"),
-        zone_charge: weight(reader, "zone_charge"),
-        favour: count(reader, "favour", 8),
-        old_version_charge: weight(reader, "old_version_charge"),
-        slow_charge: weight(reader, "slow_charge"),
-        cold_charge: weight(reader, "cold_charge"),
-        shared_places: reader.optional("shared_places"),
-        skips_hanging: reader.optional("skips_hanging"),
+        late_max_fill: weight(reader, "late_fill"),
+        late_prefills: weight(reader, "late_reading"),
+        cross_zone_penalty: weight(reader, "zone_charge"),
+        free_share_exponent: count(reader, "favour", 8),
+        old_version_penalty: weight(reader, "old_version_charge"),
+        slowness_penalty: weight(reader, "slow_charge"),
+        cold_start_penalty: weight(reader, "cold_charge"),
+        limits_entry_share: reader.optional("shared_places"),
+        skips_hung: reader.optional("skips_hanging"),
         ejects: reader.optional("ejects"),
-        late_wait: millis(reader, "late_wait_millis"),
-        outage_wait: millis(reader, "outage_wait_millis"),
-        quick_share: weight(reader, "quick_share"),
+        late_limit: millis(reader, "late_wait_millis"),
+        outage_limit: millis(reader, "outage_wait_millis"),
+        overload_objective_share: weight(reader, "quick_share"),
         detects_retries: reader.optional("detects_retries"),
-        most_attempts: count(reader, "most_attempts", 64),
-        callers_stay: millis(reader, "callers_stay_millis"),
-        hears_loads: reader.optional("hears_loads"),
-        far_lifetime: millis(reader, "far_lifetime_millis"),
-        seeders: count(reader, "seeders", 100_000),
+        max_attempts: count(reader, "most_attempts", 64),
+        stream_idle_timeout: millis(reader, "callers_stay_millis"),
+        uses_load_datagrams: reader.optional("hears_loads"),
+        cross_zone_address_lifetime: millis(reader, "far_lifetime_millis"),
+        max_seeders: count(reader, "seeders", 100_000),
         upload_share: weight(reader, "upload_share"),
         fetches_early: reader.optional("fetches_early"),
         finishes_older: reader.optional("finishes_older"),
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -211,11 +211,13 @@
             },
             staleness_bound: settings.version_limit.saturating_sub(VERSION_MARGIN),
             address_lifetime: ADDRESS_LIFETIME,
-            cross_zone_address_lifetime: policy.far_lifetime.unwrap_or(FAR_ADDRESS_LIFETIME),
+            cross_zone_address_lifetime: policy
+                .cross_zone_address_lifetime
+                .unwrap_or(FAR_ADDRESS_LIFETIME),
             detects_retries: policy.detects_retries.unwrap_or(true),
-            max_attempts: policy.most_attempts.map_or(u32::MAX, |most| most as u32),
-            stream_idle_timeout: policy.callers_stay.unwrap_or(DEFAULT_STREAM_IDLE_TIMEOUT),
-            uses_load_datagrams: policy.hears_loads.unwrap_or(true),
+            max_attempts: policy.max_attempts.map_or(u32::MAX, |most| most as u32),
+            stream_idle_timeout: policy.stream_idle_timeout.unwrap_or(DEFAULT_STREAM_IDLE_TIMEOUT),
+            uses_load_datagrams: policy.uses_load_datagrams.unwrap_or(true),
             stop_limit: settings.stop_limit,
         };
         let runtime = GatewayRuntime::start(options, dialect, listeners, self.metrics);
@@ -280,7 +282,7 @@
             planner: PlannerPolicy {
                 max_peer_fetches: PEER_FETCHES,
                 max_fetches_per_peer: 1,
-                max_seeders: policy.seeders.map_or(SEEDERS, |seeders| seeders as usize),
+                max_seeders: policy.max_seeders.map_or(SEEDERS, |seeders| seeders as usize),
                 cross_zone_delay: ZONE_PATIENCE,
                 ..PlannerPolicy::default()
             },
@@ -309,17 +311,17 @@
 fn placement_policy(overrides: &PolicyOverrides) -> PlacementPolicy {
     let usual = PlacementPolicy::default();
     PlacementPolicy {
-        late_max_fill: overrides.late_fill.unwrap_or(usual.late_max_fill),
-        late_prefills: overrides.late_reading.unwrap_or(usual.late_prefills),
-        cross_zone_penalty: overrides.zone_charge.unwrap_or(usual.cross_zone_penalty),
+        late_max_fill: overrides.late_max_fill.unwrap_or(usual.late_max_fill),
+        late_prefills: overrides.late_prefills.unwrap_or(usual.late_prefills),
+        cross_zone_penalty: overrides.cross_zone_penalty.unwrap_or(usual.cross_zone_penalty),
         free_share_exponent: overrides
-            .favour
-            .map_or(usual.free_share_exponent, |favour| favour as i32),
-        old_version_penalty: overrides.old_version_charge.unwrap_or(usual.old_version_penalty),
-        slowness_penalty: overrides.slow_charge.unwrap_or(usual.slowness_penalty),
-        cold_start_penalty: overrides.cold_charge.unwrap_or(usual.cold_start_penalty),
-        limits_entry_share: overrides.shared_places.unwrap_or(usual.limits_entry_share),
-        skips_hung: overrides.skips_hanging.unwrap_or(usual.skips_hung),
+            .free_share_exponent
+            .map_or(usual.free_share_exponent, |exponent| exponent as i32),
+        old_version_penalty: overrides.old_version_penalty.unwrap_or(usual.old_version_penalty),
+        slowness_penalty: overrides.slowness_penalty.unwrap_or(usual.slowness_penalty),
+        cold_start_penalty: overrides.cold_start_penalty.unwrap_or(usual.cold_start_penalty),
+        limits_entry_share: overrides.limits_entry_share.unwrap_or(usual.limits_entry_share),
+        skips_hung: overrides.skips_hung.unwrap_or(usual.skips_hung),
         ejects: overrides.ejects.unwrap_or(usual.ejects),
         ..usual
     }
@@ -329,9 +331,11 @@
 fn wait_policy(overrides: &PolicyOverrides) -> WaitPolicy {
     let usual = WaitPolicy::default();
     WaitPolicy {
-        late_limit: overrides.late_wait.unwrap_or(usual.late_limit),
-        outage_limit: overrides.outage_wait.unwrap_or(usual.outage_limit),
-        overload_objective_share: overrides.quick_share.unwrap_or(usual.overload_objective_share),
+        late_limit: overrides.late_limit.unwrap_or(usual.late_limit),
+        outage_limit: overrides.outage_limit.unwrap_or(usual.outage_limit),
+        overload_objective_share: overrides
+            .overload_objective_share
+            .unwrap_or(usual.overload_objective_share),
         ..usual
     }
 }
--- a/tests/all/fleet_settings.rs
+++ b/tests/all/fleet_settings.rs
@@ -32,9 +32,9 @@
     with["policy"] =
         json!({"late_fill": 0.5, "ejects": false, "outage_wait_millis": 0, "seeders": 4});
     let policy = FleetSettings::parse(&with.to_string()).expect("proper").policy;
-    assert_eq!((policy.late_fill, policy.ejects), (Some(0.5), Some(false)));
-    assert_eq!((policy.outage_wait, policy.seeders), (Some(Duration::ZERO), Some(4)));
-    assert_eq!((policy.zone_charge, policy.late_wait), (None, None));
+    assert_eq!((policy.late_max_fill, policy.ejects), (Some(0.5), Some(false)));
+    assert_eq!((policy.outage_limit, policy.max_seeders), (Some(Duration::ZERO), Some(4)));
+    assert_eq!((policy.cross_zone_penalty, policy.late_limit), (None, None));
     with["policy"] = json!({"late_fill": -1, "favour": 99, "late_wait_millis": 1e9, "other": 1});
     let error = FleetSettings::parse(&with.to_string()).expect_err("four mistakes");
     let paths: Vec<&str> = error.mistakes.iter().map(|mistake| mistake.path.as_str()).collect();
