--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetControl {
     /// Where targets and operators call.
-    pub call_address: SocketAddr,
+    pub http_address: SocketAddr,
     /// Folder on the instance's disk.
     pub data_folder: PathBuf,
 }
@@ -61,15 +61,15 @@
     /// Rate of the instance's link in Mbit/s.
     pub link_mbps: f64,
     /// Whether the whole system starts for the first time.
-    pub founding: bool,
+    pub bootstrap: bool,
     /// Time between two announcements of a target.
     pub announce_interval: Duration,
     /// Control members that may be lost at once.
-    pub tolerated_losses: u64,
+    pub tolerated_failures: u64,
     /// Time from the order to stop until the process is ended.
-    pub stop_limit: Duration,
+    pub stop_timeout: Duration,
     /// Time from naming a version until no request may begin on an older one.
-    pub version_limit: Duration,
+    pub staleness_bound: Duration,
     /// Repeats allowed for each request, over all entries.
     pub retry_ratio: f64,
     /// Window in which they are counted.
@@ -92,22 +92,24 @@
     /// # Errors
     /// Names every mistake.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let mut mistakes = Vec::new();
+        let mut field_errors = Vec::new();
         let settings = match serde_json::from_str::<Value>(text) {
-            Ok(value) => SectionReader::new("$", &value, &mut mistakes).and_then(|mut reader| {
-                let settings = read(&mut reader);
-                reader.finish();
-                settings
-            }),
+            Ok(value) => {
+                SectionReader::new("$", &value, &mut field_errors).and_then(|mut reader| {
+                    let settings = read(&mut reader);
+                    reader.finish();
+                    settings
+                })
+            }
             Err(error) => {
                 let message = format!("not JSON: {error}");
-                mistakes.push(crate::SettingsMistake { path: "$".to_owned(), message });
+                field_errors.push(crate::FieldError { path: "$".to_owned(), message });
                 None
             }
         };
         match settings {
-            Some(settings) if mistakes.is_empty() => Ok(settings),
-            _ => Err(SettingsError { mistakes }),
+            Some(settings) if field_errors.is_empty() => Ok(settings),
+            _ => Err(SettingsError { field_errors }),
         }
     }
 }
@@ -122,11 +124,11 @@
     if link_mbps.is_some_and(|rate| rate <= 0.0) {
         reader.mistake("link_mbps", "must be more than 0".to_owned());
     }
-    let founding = reader.required("founding");
+    let bootstrap = reader.required("founding");
     let announce_interval = seconds(reader, "announce_interval_seconds");
-    let tolerated_losses = reader.number("tolerated_losses", 1, 0, 16);
-    let stop_limit = seconds(reader, "stop_limit_seconds");
-    let version_limit = seconds(reader, "version_limit_seconds");
+    let tolerated_failures = reader.number("tolerated_losses", 1, 0, 16);
+    let stop_timeout = seconds(reader, "stop_limit_seconds");
+    let staleness_bound = seconds(reader, "version_limit_seconds");
     let retry_ratio = reader.required("retry_ratio");
     let retry_window = seconds(reader, "retry_window_seconds");
     let retry_minimum = reader.number("retry_minimum", 0, 0, 1_000_000);
@@ -142,9 +144,9 @@
         })
     });
     let control = reader.section("control", |reader| {
-        let call_address = reader.required::<SocketAddr>("call_address");
+        let http_address = reader.required::<SocketAddr>("call_address");
         let data_folder = reader.required("data_folder");
-        Some(FleetControl { call_address: call_address?, data_folder: data_folder? })
+        Some(FleetControl { http_address: http_address?, data_folder: data_folder? })
     });
     let agent = reader.section("agent", |reader| {
         let target_address = reader.required::<SocketAddr>("target_address");
@@ -161,11 +163,11 @@
         first_peer_port: first_peer_port as u16,
         control_seeds: control_seeds?.0,
         link_mbps: link_mbps?,
-        founding: founding?,
+        bootstrap: bootstrap?,
         announce_interval: announce_interval?,
-        tolerated_losses,
-        stop_limit: stop_limit?,
-        version_limit: version_limit?,
+        tolerated_failures,
+        stop_timeout: stop_timeout?,
+        staleness_bound: staleness_bound?,
         retry_ratio: retry_ratio?,
         retry_window: retry_window?,
         retry_minimum,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! A daemon's settings: JSON in, [`DaemonSettings`] or [`FleetSettings`] out, every mistake named
 //! with its path.
 //!
-//! One process runs the roles whose sections are present. Unknown fields are mistakes, because a
+//! One process runs the roles whose sections are present. Unknown fields are errors, because a
 //! misspelt limit that is silently ignored is found only when it is needed.
 
 mod fleet;
@@ -12,7 +12,7 @@
 pub use crate::{
     fleet::{FleetAgent, FleetControl, FleetEntry, FleetSettings},
     policy::PolicyOverrides,
-    reader::{SettingsError, SettingsMistake},
+    reader::{FieldError, SettingsError},
     settings::{
         AgentSettings, ControlSettings, DaemonSettings, DistributionSetting, EntrySettings,
         LogFormat, LogSettings, RoutingSetting, TargetKindSetting,
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -11,29 +11,29 @@
 
 /// One mistake.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsMistake {
+pub struct FieldError {
     /// Where, as a JSON path such as `$.entry.lease_millis`.
     pub path: String,
     /// What is wrong.
     pub message: String,
 }
 
-impl fmt::Display for SettingsMistake {
+impl fmt::Display for FieldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.path, self.message)
     }
 }
 
-/// Settings that cannot be used, with all mistakes.
+/// Settings that cannot be used, with all errors.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub struct SettingsError {
     /// At least one mistake.
-    pub mistakes: Vec<SettingsMistake>,
+    pub field_errors: Vec<FieldError>,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let lines: Vec<String> = self.mistakes.iter().map(ToString::to_string).collect();
+        let lines: Vec<String> = self.field_errors.iter().map(ToString::to_string).collect();
         f.write_str(&lines.join("\n"))
     }
 }
@@ -135,7 +135,7 @@
 pub(crate) struct SectionReader<'a> {
     path: String,
     fields: Map<String, Value>,
-    mistakes: &'a mut Vec<SettingsMistake>,
+    field_errors: &'a mut Vec<FieldError>,
 }
 
 impl<'a> SectionReader<'a> {
@@ -143,13 +143,15 @@
     pub(crate) fn new(
         path: &str,
         value: &Value,
-        mistakes: &'a mut Vec<SettingsMistake>,
+        field_errors: &'a mut Vec<FieldError>,
     ) -> Option<Self> {
         match value.as_object() {
-            Some(fields) => Some(Self { path: path.to_owned(), fields: fields.clone(), mistakes }),
+            Some(fields) => {
+                Some(Self { path: path.to_owned(), fields: fields.clone(), field_errors })
+            }
             None => {
                 let message = "expected an object".to_owned();
-                mistakes.push(SettingsMistake { path: path.to_owned(), message });
+                field_errors.push(FieldError { path: path.to_owned(), message });
                 None
             }
         }
@@ -204,7 +206,7 @@
     ) -> Option<T> {
         let value = self.fields.remove(name)?;
         let path = format!("{}.{name}", self.path);
-        let mut section = SectionReader::new(&path, &value, self.mistakes)?;
+        let mut section = SectionReader::new(&path, &value, self.field_errors)?;
         let result = read(&mut section);
         section.finish();
         result
@@ -218,7 +220,7 @@
     /// Notes a mistake in the field `name`.
     pub(crate) fn mistake(&mut self, name: &str, message: String) {
         let path = format!("{}.{name}", self.path);
-        self.mistakes.push(SettingsMistake { path, message });
+        self.field_errors.push(FieldError { path, message });
     }
 
     /// Notes every field that nobody read.
@@ -226,7 +228,7 @@
         for name in self.fields.keys() {
             let path = format!("{}.{name}", self.path);
             let message = "is not a known field".to_owned();
-            self.mistakes.push(SettingsMistake { path, message });
+            self.field_errors.push(FieldError { path, message });
         }
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,6 +1,6 @@
 //! Checked settings of a daemon and its roles.
 
-use crate::reader::{AddressList, AddressText, SectionReader, SettingsError, SettingsMistake};
+use crate::reader::{AddressList, AddressText, FieldError, SectionReader, SettingsError};
 use egretseam_proto::{GroupName, InstanceName, ZoneName};
 use serde_json::Value;
 use std::{path::PathBuf, time::Duration};
@@ -126,7 +126,7 @@
     /// Bytes a second for transfers and live answers together.
     pub link_bytes_per_second: Option<u64>,
     /// How long a switch may take.
-    pub switch_limit: Duration,
+    pub switch_timeout: Duration,
     /// How weights reach this instance.
     pub distribution: DistributionSetting,
 }
@@ -147,7 +147,7 @@
     /// `host:port` of the control members.
     pub control_members: Vec<String>,
     /// How long a planned stop may take.
-    pub stop_limit: Duration,
+    pub stop_timeout: Duration,
     /// Logging.
     pub log: LogSettings,
     /// The control role.
@@ -169,7 +169,7 @@
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let value: Value = serde_json::from_str(text).map_err(|error| {
             let message = format!("not JSON: {error}");
-            SettingsError { mistakes: vec![SettingsMistake { path: "$".to_owned(), message }] }
+            SettingsError { field_errors: vec![FieldError { path: "$".to_owned(), message }] }
         })?;
         Self::try_from(&value)
     }
@@ -179,15 +179,15 @@
     type Error = SettingsError;
 
     fn try_from(value: &Value) -> Result<Self, SettingsError> {
-        let mut mistakes = Vec::new();
-        let settings = SectionReader::new("$", value, &mut mistakes).and_then(|mut reader| {
+        let mut field_errors = Vec::new();
+        let settings = SectionReader::new("$", value, &mut field_errors).and_then(|mut reader| {
             let settings = read_daemon(&mut reader);
             reader.finish();
             settings
         });
         match settings {
-            Some(settings) if mistakes.is_empty() => Ok(settings),
-            _ => Err(SettingsError { mistakes }),
+            Some(settings) if field_errors.is_empty() => Ok(settings),
+            _ => Err(SettingsError { field_errors }),
         }
     }
 }
@@ -199,7 +199,7 @@
     let operator_token_file = reader.required("operator_token_file");
     let operator_address = reader.required::<AddressText>("operator_address");
     let control_members = reader.optional::<AddressList>("control_members");
-    let stop_limit = reader.number("stop_limit_millis", 120_000, 0, DAY_MILLIS);
+    let stop_timeout = reader.number("stop_limit_millis", 120_000, 0, DAY_MILLIS);
     let log = reader.section("log", read_log);
     let (has_control, has_entry, has_agent) =
         (reader.has("control"), reader.has("entry"), reader.has("agent"));
@@ -219,7 +219,7 @@
         operator_token_file: operator_token_file?,
         operator_address: operator_address?.0,
         control_members: control_members.map(|list| list.0).unwrap_or_default(),
-        stop_limit: Duration::from_millis(stop_limit),
+        stop_timeout: Duration::from_millis(stop_timeout),
         log: log.unwrap_or(LogSettings { format: LogFormat::Human, filter: "info".to_owned() }),
         control,
         entry,
@@ -296,7 +296,7 @@
     if link_bytes_per_second == Some(0) {
         reader.mistake("link_bytes_per_second", "must not be 0".to_owned());
     }
-    let switch_limit = reader.number("switch_limit_millis", 600_000, 10_000, 900_000);
+    let switch_timeout = reader.number("switch_limit_millis", 600_000, 10_000, 900_000);
     let distribution = match reader.word("distribution", &["swarm", "origin-only", "tree"]) {
         Some("origin-only") => DistributionSetting::OriginOnly,
         Some("tree") => DistributionSetting::Tree,
@@ -318,7 +318,7 @@
         weights_folder: weights_folder?,
         disk_budget_bytes,
         link_bytes_per_second,
-        switch_limit: Duration::from_millis(switch_limit),
+        switch_timeout: Duration::from_millis(switch_timeout),
         distribution,
     })
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -209,7 +209,7 @@
                 window: settings.retry_window,
                 ..RetryPolicy::default()
             },
-            staleness_bound: settings.version_limit.saturating_sub(VERSION_MARGIN),
+            staleness_bound: settings.staleness_bound.saturating_sub(VERSION_MARGIN),
             address_lifetime: ADDRESS_LIFETIME,
             cross_zone_address_lifetime: policy
                 .cross_zone_address_lifetime
@@ -218,7 +218,7 @@
             max_attempts: policy.max_attempts.map_or(u32::MAX, |most| most as u32),
             stream_idle_timeout: policy.stream_idle_timeout.unwrap_or(DEFAULT_STREAM_IDLE_TIMEOUT),
             uses_load_datagrams: policy.uses_load_datagrams.unwrap_or(true),
-            stop_limit: settings.stop_limit,
+            stop_limit: settings.stop_timeout,
         };
         let runtime = GatewayRuntime::start(options, dialect, listeners, self.metrics);
         runtime.context("start the entry")
@@ -233,7 +233,7 @@
         let log_address = self.peer_address(LOG_PORT);
         let feed_address = self.peer_address(FEED_PORT);
         let listeners = RegistrarListeners {
-            http: self.bind(control.call_address)?,
+            http: self.bind(control.http_address)?,
             peers: self.bind(log_address)?,
             feeds: self.bind(feed_address)?,
             loads: self.bind_datagrams(FEED_PORT)?,
@@ -245,9 +245,9 @@
         member.snapshot_every = SNAPSHOT_EVERY;
         member.formation = Some(GroupFormation {
             seeds: self.seeds.logs.clone(),
-            founding: settings.founding,
+            founding: settings.bootstrap,
             repair: RepairPolicy {
-                voters: (settings.tolerated_losses * 2 + 1).max(3) as usize,
+                voters: (settings.tolerated_failures * 2 + 1).max(3) as usize,
                 replace_after: REPLACE_AFTER,
             },
         });
@@ -290,7 +290,7 @@
             fetches_early: policy.fetches_early.unwrap_or(true),
             finishes_older: policy.finishes_older.unwrap_or(true),
             switch_timing: SwitchTiming {
-                staleness_bound: self.settings.version_limit,
+                staleness_bound: self.settings.staleness_bound,
                 reserve: SWITCH_RESERVE,
             },
         };
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -165,7 +165,7 @@
         );
         let operator =
             spawn_server(listeners.operator, Rc::new(handler), ServerOptions::default())?;
-        let stop_limit = settings.stop_limit;
+        let stop_limit = settings.stop_timeout;
         Ok(Self { control, entry, agent, operator, metrics, stop_limit })
     }
 
@@ -266,7 +266,7 @@
     options.store_address = agent.store_address.clone();
     options.disk_budget = agent.disk_budget_bytes;
     options.link_bytes_per_second = agent.link_bytes_per_second;
-    options.switch_limit = agent.switch_limit;
+    options.switch_limit = agent.switch_timeout;
     options.transfer.policy.scheme = match agent.distribution {
         DistributionSetting::Swarm => DistributionScheme::Swarm,
         DistributionSetting::OriginOnly => DistributionScheme::OriginOnly,
--- a/src/commands/check_config.rs
+++ b/src/commands/check_config.rs
@@ -22,10 +22,10 @@
                 Ok(())
             }
             Err(error) => {
-                for mistake in &error.mistakes {
+                for mistake in &error.field_errors {
                     println!("{mistake}");
                 }
-                bail!("{shown}: {} mistake(s)", error.mistakes.len())
+                bail!("{shown}: {} mistake(s)", error.field_errors.len())
             }
         }
     }
--- a/tests/all/fleet/weights.rs
+++ b/tests/all/fleet/weights.rs
@@ -102,7 +102,7 @@
 #[actix_rt::test]
 async fn an_engine_is_drained_before_it_loads_new_weights() {
     let mut fixture = WeightsFixture::start(0, true).await;
-    fixture.fleet.settings.version_limit = Duration::from_secs(8);
+    fixture.fleet.settings.staleness_bound = Duration::from_secs(8);
     fixture.add().await;
     fixture.wait_until_loaded(1).await;
     fixture.engines[0].running_requests.set(3);
--- a/tests/all/fleet/weights_bed.rs
+++ b/tests/all/fleet/weights_bed.rs
@@ -51,7 +51,7 @@
     /// complete, the first engine may have loaded it, and version 3 cannot be fetched.
     pub(super) async fn start_before_superseding() -> Self {
         let mut this = Self::start(0, true).await;
-        this.fleet.settings.version_limit = Duration::from_secs(8);
+        this.fleet.settings.staleness_bound = Duration::from_secs(8);
         for _ in 0..3 {
             this.add().await;
         }
--- a/tests/all/fleet_settings.rs
+++ b/tests/all/fleet_settings.rs
@@ -37,7 +37,7 @@
     assert_eq!((policy.cross_zone_penalty, policy.late_limit), (None, None));
     with["policy"] = json!({"late_fill": -1, "favour": 99, "late_wait_millis": 1e9, "other": 1});
     let error = FleetSettings::parse(&with.to_string()).expect_err("four mistakes");
-    let paths: Vec<&str> = error.mistakes.iter().map(|mistake| mistake.path.as_str()).collect();
+    let paths: Vec<&str> = error.field_errors.iter().map(|mistake| mistake.path.as_str()).collect();
     for field in ["late_fill", "favour", "late_wait_millis", "other"] {
         let path = format!("$.policy.{field}");
         assert!(paths.contains(&path.as_str()), "{path} is not among {paths:?}");
@@ -53,7 +53,7 @@
     wrong["surplus"] = json!(1);
     wrong.as_object_mut().expect("an object").remove("host");
     let error = FleetSettings::parse(&wrong.to_string()).expect_err("five mistakes");
-    let paths: Vec<&str> = error.mistakes.iter().map(|mistake| mistake.path.as_str()).collect();
+    let paths: Vec<&str> = error.field_errors.iter().map(|mistake| mistake.path.as_str()).collect();
     for path in
         ["$.entry.caller_address", "$.link_mbps", "$.stop_limit_seconds", "$.surplus", "$.host"]
     {
--- a/tests/all/settings.rs
+++ b/tests/all/settings.rs
@@ -14,7 +14,7 @@
                    "weights_folder": "" }
     }"#;
     let error = DaemonSettings::parse(text).expect_err("full of mistakes");
-    let paths: Vec<&str> = error.mistakes.iter().map(|mistake| mistake.path.as_str()).collect();
+    let paths: Vec<&str> = error.field_errors.iter().map(|mistake| mistake.path.as_str()).collect();
     let expected = [
         "$.instance",
         "$.zone",
