--- a/crates/bench/src/soak/stand_ins.rs
+++ b/crates/bench/src/soak/stand_ins.rs
@@ -111,13 +111,13 @@
 
     async fn answer(&self, connection: &mut HttpConnection, head: &RequestHead) -> bool {
         let id = stand_in::request_id(head).to_owned();
-        if !stand_in::is_meant_for(head, &self.id) {
-            let bytes = stand_in::misdirected().finish_with(b"");
+        if !stand_in::is_addressed_to(head, &self.id) {
+            let bytes = stand_in::misdirected_response().finish_with(b"");
             return connection.write(&bytes).await.is_ok();
         }
         self.ledger.note_run(&id);
         tokio::time::sleep(WORK).await;
-        let mut writer = stand_in::answer(200, &id, &self.id);
+        let mut writer = stand_in::response(200, &id, &self.id);
         if !head.path().starts_with("/stream/") {
             return connection.write(&writer.finish_with(id.as_bytes())).await.is_ok();
         }
@@ -125,7 +125,7 @@
         if connection.write(&writer.finish()).await.is_err() {
             return false;
         }
-        for event in stand_in::last_event(head) + 1..=EVENTS {
+        for event in stand_in::last_event_id(head) + 1..=EVENTS {
             tokio::time::sleep(WORK).await;
             let event = chunk_frame(format!("id: {event}\ndata: {id}\n\n").as_bytes());
             if connection.write(&event).await.is_err() {
