--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's interface for orders and state, see `docs/interfaces.md`.
+//! Client of the engine's HTTP interface for load orders and state, see `docs/interfaces.md`.
 
 use awc::{Client, http::StatusCode};
 use egretseam_proto::{FencingNumber, ManifestId, ModelName, VersionName};
@@ -7,104 +7,104 @@
 use std::{path::PathBuf, time::Duration};
 use thiserror::Error;
 
-/// How long an engine may take to answer an order or a question; a load itself takes longer and is
-/// followed by asking.
-const ANSWER_LIMIT: Duration = Duration::from_secs(3);
-/// Largest answer of an engine to an order or question.
-const MAX_ANSWER_BYTES: usize = 64 * 1024;
+/// How long an engine may take to respond to an order or a state request. A load takes longer; its
+/// end is found by polling the state.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest response body that is read from an engine.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// What an engine is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EnginePhase {
-    /// Holds nothing.
+    /// Has no weights loaded.
     Empty,
-    /// Loads what it was ordered to.
+    /// Loads the weights of an order.
     Loading,
-    /// Answers requests.
+    /// Serves requests.
     Ready,
 }
 
 /// A load that failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadFailure {
-    /// What was to be loaded.
+    /// Identity of the weights that were to be loaded.
     pub identity: ManifestId,
     /// Why it failed.
     pub message: String,
 }
 
-/// What an engine says of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
     /// Phase.
     pub phase: EnginePhase,
-    /// Identity that it answers from.
+    /// Identity of the weights that it serves.
     #[serde(default)]
     pub identity: Option<ManifestId>,
-    /// Identity that it is loading.
+    /// Identity of the weights that it is loading.
     #[serde(default)]
     pub loading: Option<ManifestId>,
-    /// Last load that failed, until another is ordered.
+    /// Last load that failed, until the next order.
     #[serde(default)]
     pub failure: Option<LoadFailure>,
-    /// Requests being computed.
+    /// Requests that are running.
     #[serde(default)]
     pub running: u32,
-    /// Requests waiting.
+    /// Requests that wait in the engine's queue.
     #[serde(default)]
     pub waiting: u32,
 }
 
-/// An adapter to load beside the weights.
+/// An adapter to load together with the base weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterOrder {
     /// Name.
     pub model: ModelName,
     /// Version.
     pub version: VersionName,
-    /// File with the whole adapter.
+    /// File with the complete adapter.
     pub path: PathBuf,
 }
 
-/// An order to load.
+/// An order to load weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Higher than that of every earlier order to this target.
+    /// Fencing number, higher than that of every earlier order to this target.
     pub fence: FencingNumber,
-    /// What the engine reports, and puts on answers, once it has loaded this.
+    /// Identity that the engine reports, and puts on responses, once it has loaded these weights.
     pub identity: ManifestId,
     /// Model.
     pub model: ModelName,
     /// Version.
     pub version: VersionName,
-    /// File with the whole weights.
+    /// File with the complete weights.
     pub path: PathBuf,
     /// Adapters.
     #[serde(default)]
     pub adapters: Vec<AdapterOrder>,
 }
 
-/// Why an engine did not take an order or answer a question.
+/// Why an order or a state request to an engine failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum EngineError {
     /// The engine has seen a higher fencing number.
-    #[error("the engine refused the fencing number as outdated")]
+    #[error("the engine rejected the order: its fencing number is outdated")]
     Fenced,
-    /// The engine refused for another reason; the order has no effect.
-    #[error("the engine refused: {0}")]
-    Refused(String),
-    /// No answer; the order may have been taken.
-    #[error("no usable answer from the engine: {0}")]
+    /// The engine rejected the order for another reason; the order has no effect.
+    #[error("the engine rejected the order: {0}")]
+    Rejected(String),
+    /// No usable response; an order may have been accepted.
+    #[error("no usable response from the engine: {0}")]
     Unknown(String),
 }
 
-/// Orders and questions to an engine.
+/// Sends load orders to an engine and reads its state.
 pub trait EngineControl {
-    /// Orders a load.
+    /// Orders the engine to load weights.
     fn order(&self, order: &EngineOrder) -> LocalBoxFuture<'static, Result<(), EngineError>>;
 
-    /// Asks for the present state.
+    /// Reads the engine's current state.
     fn state(&self) -> LocalBoxFuture<'static, Result<EngineState, EngineError>>;
 }
 
@@ -125,16 +125,16 @@
 impl EngineControl for HttpEngine {
     fn order(&self, order: &EngineOrder) -> LocalBoxFuture<'static, Result<(), EngineError>> {
         let url = format!("http://{}/engine/orders", self.address);
-        let call = self.client.post(url).timeout(ANSWER_LIMIT).send_json(order);
+        let request = self.client.post(url).timeout(RESPONSE_TIMEOUT).send_json(order);
         Box::pin(async move {
-            let mut answer = call.await.map_err(|e| EngineError::Unknown(e.to_string()))?;
-            match answer.status() {
+            let mut response = request.await.map_err(|e| EngineError::Unknown(e.to_string()))?;
+            match response.status() {
                 StatusCode::OK | StatusCode::ACCEPTED => Ok(()),
                 StatusCode::CONFLICT => Err(EngineError::Fenced),
                 status => {
-                    let body = answer.body().limit(MAX_ANSWER_BYTES).await.unwrap_or_default();
+                    let body = response.body().limit(MAX_RESPONSE_BYTES).await.unwrap_or_default();
                     let text = String::from_utf8_lossy(&body);
-                    Err(EngineError::Refused(format!("{status}: {text}")))
+                    Err(EngineError::Rejected(format!("{status}: {text}")))
                 }
             }
         })
@@ -142,14 +142,14 @@
 
     fn state(&self) -> LocalBoxFuture<'static, Result<EngineState, EngineError>> {
         let url = format!("http://{}/engine/state", self.address);
-        let call = self.client.get(url).timeout(ANSWER_LIMIT).send();
+        let request = self.client.get(url).timeout(RESPONSE_TIMEOUT).send();
         Box::pin(async move {
             let unknown = |detail: String| EngineError::Unknown(detail);
-            let mut answer = call.await.map_err(|e| unknown(e.to_string()))?;
-            if !answer.status().is_success() {
-                return Err(unknown(format!("status {}", answer.status())));
+            let mut response = request.await.map_err(|e| unknown(e.to_string()))?;
+            if !response.status().is_success() {
+                return Err(unknown(format!("status {}", response.status())));
             }
-            answer.json().limit(MAX_ANSWER_BYTES).await.map_err(|e| unknown(e.to_string()))
+            response.json().limit(MAX_RESPONSE_BYTES).await.map_err(|e| unknown(e.to_string()))
         })
     }
 }
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -1,15 +1,16 @@
-//! The last gate before the target.
+//! The gate: the HTTP proxy in front of the target, which makes the final admission check.
 //!
-//! Whatever an entry believed when it sent a request, it is admitted here only by what is true
-//! now: the run it was meant for, the version it was routed for, the configuration it was routed
-//! by, the time it has left, and whether the target takes new work at all.
+//! An entry routes by state that may be outdated when the request arrives. The gate admits a
+//! request only by the current state: the agent's incarnation, the target's state, the revision of
+//! the profile, the version that the target serves, the time left, and the number of requests in
+//! progress.
 
 mod relay;
 
 use crate::{
-    keys::{KeptAnswer, KeyEntry, KeyResult},
+    keys::{KeyLookup, KeyResult, StoredResponse},
     runtime::TargetKind,
-    shared::{AgentShared, FlightGuard},
+    shared::{AgentShared, InFlightGuard},
 };
 use actix_http::{
     HttpMessage, Method, Request, Response, StatusCode,
@@ -32,31 +33,32 @@
 
 /// Largest request body in bytes; entries have a lower limit.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
-/// Largest kept answer in bytes.
-const MAX_KEPT_ANSWER: usize = 4 * 1024 * 1024;
-/// Silence of all entries after which keyed requests are refused: the log's clock, by which keys
-/// are forgotten, must not lag further than the key table's margin.
-pub(crate) const KEYED_SILENCE_LIMIT: Duration = Duration::from_secs(30);
-/// Part of the limit by which a gate admits more than entries aim at. Entries know each other's
-/// load only as of the last reports; without slack, requests that entries admitted in good faith
-/// bounce between gates.
-const GATE_SLACK: u32 = 4;
-/// Deadline of a request that names none.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
-/// The event that ends a model's stream.
+/// Largest response to a keyed request, in bytes. A larger one fails the request.
+const MAX_STORED_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+/// Age of the last confirmation of the configuration by any entry, beyond which keyed requests are
+/// rejected: the replicated log's clock, by which keys expire, must not lag behind by more than the
+/// key table's margin.
+pub(crate) const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(30);
+/// The gate admits `max_in_flight / LIMIT_HEADROOM_DIVISOR` more requests than the limit that
+/// entries keep. Entries know each other's load only as of the last reports; without headroom,
+/// requests within the limit that they know would be rejected by one gate after another.
+const LIMIT_HEADROOM_DIVISOR: u32 = 4;
+/// Time left for a request without a deadline header.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
+/// The last event of a model's stream.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
 
-/// Whether a refusal says that its key will never run here.
+/// Whether a rejection certifies that its idempotency key will never run at this target.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum KeyFinality {
-    /// Nothing is certified.
-    Open,
-    /// The key has not run here and never will.
-    NeverHere,
+    /// The key may still run here.
+    NotFinal,
+    /// The key has not run here and never will, so that the entry may bind it to another target.
+    Final,
 }
 
-/// A request past the checks.
-struct GateCall {
+/// A request that the gate has admitted.
+struct AdmittedRequest {
     method: Method,
     path: String,
     headers: HeaderMap,
@@ -65,7 +67,7 @@
     arrived: Instant,
 }
 
-/// Answers entries.
+/// Serves the requests that entries send.
 pub(crate) struct GateHandler {
     shared: Rc<AgentShared>,
 }
@@ -75,56 +77,56 @@
         Self { shared }
     }
 
-    async fn answer(&self, mut request: Request) -> HttpReply {
+    async fn respond(&self, mut request: Request) -> HttpReply {
         if request.path() == "/healthz" {
             return text_reply(StatusCode::OK, "ok\n");
         }
         self.shared.counters.requests.inc();
-        let keyed = match keyed_of(request.headers()) {
+        let keyed = match idempotency_key(request.headers()) {
             Ok(keyed) => keyed,
-            Err(report) => return self.refuse(&report, KeyFinality::Open),
+            Err(report) => return self.reject(&report, KeyFinality::NotFinal),
         };
-        // Counted in before the first wait, so that a drain cannot end between check and run.
-        let flight = self.shared.enter();
+        // Counted before the first await, so that a drain cannot end between the check and the run.
+        let guard = self.shared.begin_request();
         if let Err(report) = self.admit(request.headers()) {
-            // A key that already runs or has run here is answered even while the target leaves.
+            // A key that is running or has run here gets its result even while the target leaves.
             return match keyed {
                 Some((organisation, key)) => {
-                    self.answer_known(&organisation, &key, &report, request.headers()).await
+                    self.respond_to_known_key(&organisation, &key, &report, request.headers()).await
                 }
-                None => self.refuse(&report, KeyFinality::Open),
+                None => self.reject(&report, KeyFinality::NotFinal),
             };
         }
         let body = match read_body(&mut request.take_payload(), MAX_BODY_BYTES).await {
             Ok(body) => body,
-            Err(report) => return self.refuse(&report, KeyFinality::Open),
+            Err(report) => return self.reject(&report, KeyFinality::NotFinal),
         };
         let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
-        let call = GateCall {
+        let admitted = AdmittedRequest {
             method: request.method().clone(),
             path,
             headers: request.headers().clone(),
             body,
-            deadline: Instant::now() + deadline_of(request.headers()),
+            deadline: Instant::now() + time_left(request.headers()),
             arrived: Instant::now(),
         };
         match keyed {
-            Some((organisation, key)) => self.run_keyed(call, organisation, key, flight).await,
-            None => self.run_plain(call, flight).await,
+            Some((organisation, key)) => self.run_keyed(admitted, organisation, key, guard).await,
+            None => self.run_unkeyed(admitted, guard).await,
         }
     }
 
-    fn refuse(&self, report: &FailureReport, finality: KeyFinality) -> HttpReply {
+    fn reject(&self, report: &FailureReport, finality: KeyFinality) -> HttpReply {
         self.shared.metrics.count_refusal(report);
         let mut reply = failure_reply(report);
-        if finality == KeyFinality::NeverHere {
+        if finality == KeyFinality::Final {
             let name = HeaderName::from_static(KEY_REFUSED_HEADER);
             reply.headers_mut().insert(name, actix_http::header::HeaderValue::from_static("1"));
         }
         reply
     }
 
-    /// Whether the target takes this request now.
+    /// Checks whether the target can run this request now.
     fn admit(&self, headers: &HeaderMap) -> Result<(), FailureReport> {
         let shared = &self.shared;
         let number = |name| header_text(headers, name).and_then(|text| text.parse::<u64>().ok());
@@ -149,7 +151,8 @@
             let detail = "no time is left";
             return Err(FailureReport::not_run(RefusalReason::DeadlineExceeded, detail));
         }
-        let limit = profile.spec.max_in_flight + profile.spec.max_in_flight.div_ceil(GATE_SLACK);
+        let limit = profile.spec.max_in_flight
+            + profile.spec.max_in_flight.div_ceil(LIMIT_HEADROOM_DIVISOR);
         if shared.in_flight.get() > limit {
             let detail = format!("{} requests are in progress", shared.in_flight.get() - 1);
             return Err(FailureReport::not_run(RefusalReason::Overloaded, detail));
@@ -160,17 +163,18 @@
     fn check_version(&self, headers: &HeaderMap) -> Result<(), FailureReport> {
         let Some(expected) = header_text(headers, VERSION_HEADER) else { return Ok(()) };
         let serving = self.shared.serving.borrow();
-        let held = serving.as_ref().map(|serving| serving.manifest.to_string());
-        if held.as_deref() == Some(expected) {
+        let served = serving.as_ref().map(|serving| serving.manifest.to_string());
+        if served.as_deref() == Some(expected) {
             return Ok(());
         }
         let detail = "the target serves another version";
         Err(FailureReport::not_run(RefusalReason::VersionMismatch, detail))
     }
 
-    /// A keyed request that would be refused: answers it if the key is known, else marks the key
-    /// as refused for good, so that the entry may bind it elsewhere.
-    async fn answer_known(
+    /// Responds to a keyed request that was not admitted: with its result if the key is known, else
+    /// with a rejection. If the agent is stopping, it also marks an unknown key as never to run
+    /// here, so that the entry may bind it to another target.
+    async fn respond_to_known_key(
         &self,
         organisation: &OrganisationName,
         key: &RequestKey,
@@ -179,103 +183,105 @@
     ) -> HttpReply {
         let shared = &self.shared;
         if report.reason == RefusalReason::OtherIncarnation {
-            // What an earlier run did with the key is not known here.
-            return self.refuse(report, KeyFinality::Open);
+            // Whether an earlier incarnation has run the key is not known here.
+            return self.reject(report, KeyFinality::NotFinal);
         }
-        // Failure guarded: a service with one target is refused a key once, for a moment's reason,
-        // and could never run it again. Only a target that leaves for good refuses a key for good.
-        if !shared.stopping.get() && !shared.keys.borrow().knows(organisation, key) {
-            return self.refuse(report, KeyFinality::Open);
+        // If a temporary condition made a rejection final, a service with one target could never
+        // run the key again. So only an agent that is stopping rejects a key for good.
+        if !shared.stopping.get() && !shared.keys.borrow().contains(organisation, key) {
+            return self.reject(report, KeyFinality::NotFinal);
         }
-        let clock = shared.clock.get();
-        let refused = shared.keys.borrow_mut().refuse(organisation, key, report.reason, clock);
-        if refused {
-            return self.refuse(report, KeyFinality::NeverHere);
+        let clock = shared.log_clock.get();
+        let rejected = shared.keys.borrow_mut().reject(organisation, key, report.reason, clock);
+        if rejected {
+            return self.reject(report, KeyFinality::Final);
         }
-        let entry = shared.keys.borrow_mut().enter(organisation, key, clock);
-        let deadline = Instant::now() + deadline_of(headers);
-        match entry {
-            KeyEntry::Running(result) => self.await_key(result, deadline).await,
-            KeyEntry::Ended(result) => self.key_reply(result),
-            KeyEntry::Refused(_) => self.refuse(report, KeyFinality::NeverHere),
-            KeyEntry::Fresh(_) | KeyEntry::Full => self.refuse(report, KeyFinality::Open),
+        let lookup = shared.keys.borrow_mut().begin(organisation, key, clock);
+        let deadline = Instant::now() + time_left(headers);
+        match lookup {
+            KeyLookup::Running(result) => self.await_result(result, deadline).await,
+            KeyLookup::Finished(result) => self.key_reply(result),
+            KeyLookup::Rejected(_) => self.reject(report, KeyFinality::Final),
+            KeyLookup::New(_) | KeyLookup::Full => self.reject(report, KeyFinality::NotFinal),
         }
     }
 
-    async fn run_plain(&self, call: GateCall, flight: FlightGuard) -> HttpReply {
-        let response = match send(&self.shared, &call).await {
+    async fn run_unkeyed(&self, admitted: AdmittedRequest, guard: InFlightGuard) -> HttpReply {
+        let response = match send_to_target(&self.shared, &admitted).await {
             Ok(response) => response,
-            Err(report) => return self.refuse(&report, KeyFinality::Open),
+            Err(report) => return self.reject(&report, KeyFinality::NotFinal),
         };
-        let seconds = call.arrived.elapsed().as_secs_f64();
+        let seconds = admitted.arrived.elapsed().as_secs_f64();
         self.shared.counters.first_byte.observe(seconds);
-        relay::relay(self.shared.clone(), &call, response, flight)
+        relay::relay(self.shared.clone(), &admitted, response, guard)
     }
 
-    /// Runs a key once. The run is a task of its own: it goes on when the entry that asked for it
-    /// dies, and whoever asks again is given its result.
+    /// Runs a key once, in a separate task: it continues if the entry that sent the request dies,
+    /// and retries of the key get its result.
     async fn run_keyed(
         &self,
-        call: GateCall,
+        admitted: AdmittedRequest,
         organisation: OrganisationName,
         key: RequestKey,
-        flight: FlightGuard,
+        guard: InFlightGuard,
     ) -> HttpReply {
         let shared = &self.shared;
-        let clock = shared.clock.get();
-        let deadline = call.deadline;
-        if !shared.confirmed_within(KEYED_SILENCE_LIMIT) {
+        let clock = shared.log_clock.get();
+        let deadline = admitted.deadline;
+        if !shared.confirmed_within(MAX_CONFIRMATION_AGE) {
             let detail = "no entry confirms the configuration";
             let report = FailureReport::not_run(RefusalReason::LeaseExpired, detail);
-            return self.answer_known(&organisation, &key, &report, &call.headers).await;
+            return self
+                .respond_to_known_key(&organisation, &key, &report, &admitted.headers)
+                .await;
         }
-        let entry = shared.keys.borrow_mut().enter(&organisation, &key, clock);
-        match entry {
-            KeyEntry::Fresh(sender) => {
+        let lookup = shared.keys.borrow_mut().begin(&organisation, &key, clock);
+        match lookup {
+            KeyLookup::New(sender) => {
                 shared.counters.keys_run.inc();
                 shared.counters.keys.set(shared.keys.borrow().len() as i64);
                 let result = sender.subscribe();
-                let task = run_key(shared.clone(), call, organisation, key, sender, flight);
+                let task = run_key(shared.clone(), admitted, organisation, key, sender, guard);
                 actix_rt::spawn(task);
-                self.await_key(result, deadline).await
+                self.await_result(result, deadline).await
             }
-            KeyEntry::Running(result) => {
+            KeyLookup::Running(result) => {
                 shared.counters.keys_found.inc();
-                self.await_key(result, deadline).await
+                self.await_result(result, deadline).await
             }
-            KeyEntry::Ended(result) => {
+            KeyLookup::Finished(result) => {
                 shared.counters.keys_found.inc();
                 self.key_reply(result)
             }
-            KeyEntry::Refused(reason) => {
+            KeyLookup::Rejected(reason) => {
                 let detail = "the key was refused here before";
-                self.refuse(&FailureReport::not_run(reason, detail), KeyFinality::NeverHere)
+                self.reject(&FailureReport::not_run(reason, detail), KeyFinality::Final)
             }
-            KeyEntry::Full => {
+            KeyLookup::Full => {
                 let detail = "no room to remember another key";
                 let report = FailureReport::not_run(RefusalReason::Overloaded, detail);
-                self.refuse(&report, KeyFinality::Open)
+                self.reject(&report, KeyFinality::NotFinal)
             }
         }
     }
 
-    async fn await_key(
+    async fn await_result(
         &self,
         mut result: watch::Receiver<Option<KeyResult>>,
         deadline: Instant,
     ) -> HttpReply {
-        let ended = tokio::time::timeout_at(deadline, result.wait_for(Option::is_some)).await;
-        let ended = match ended {
-            Ok(Ok(ended)) => ended.clone(),
+        let finished = tokio::time::timeout_at(deadline, result.wait_for(Option::is_some)).await;
+        let finished = match finished {
+            Ok(Ok(finished)) => finished.clone(),
             Ok(Err(_)) | Err(_) => None,
         };
-        match ended {
+        match finished {
             Some(result) => self.key_reply(result),
             None => {
                 let detail = "the key is still running";
-                self.refuse(
+                self.reject(
                     &FailureReport::may_have_run(RefusalReason::DeadlineExceeded, detail),
-                    KeyFinality::Open,
+                    KeyFinality::NotFinal,
                 )
             }
         }
@@ -283,22 +289,22 @@
 
     fn key_reply(&self, result: KeyResult) -> HttpReply {
         match result {
-            KeyResult::Answered(answer) => {
-                let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
+            KeyResult::Response(response) => {
+                let status = StatusCode::from_u16(response.status).unwrap_or(StatusCode::OK);
                 let mut builder = Response::build(status);
-                for (name, value) in &answer.headers {
+                for (name, value) in &response.headers {
                     builder.append_header((name.as_str(), value.as_str()));
                 }
-                builder.body(answer.body.clone()).map_into_boxed_body()
+                builder.body(response.body.clone()).map_into_boxed_body()
             }
-            KeyResult::Failed(report) => self.refuse(&report, KeyFinality::Open),
-            KeyResult::Forgotten => self.refuse(
+            KeyResult::Failed(report) => self.reject(&report, KeyFinality::NotFinal),
+            KeyResult::ResponseDropped => self.reject(
                 &FailureReport {
                     reason: RefusalReason::OutcomeUnknown,
                     verdict: RequestVerdict::Ran,
                     detail: "the key has run; its answer is no longer kept".to_owned(),
                 },
-                KeyFinality::Open,
+                KeyFinality::NotFinal,
             ),
         }
     }
@@ -306,33 +312,33 @@
 
 async fn run_key(
     shared: Rc<AgentShared>,
-    call: GateCall,
+    admitted: AdmittedRequest,
     organisation: OrganisationName,
     key: RequestKey,
     sender: watch::Sender<Option<KeyResult>>,
-    _flight: FlightGuard,
+    _guard: InFlightGuard,
 ) {
-    let result = match run_to_end(&shared, &call).await {
-        Ok(answer) => KeyResult::Answered(Rc::new(answer)),
+    let result = match collect_response(&shared, &admitted).await {
+        Ok(response) => KeyResult::Response(Rc::new(response)),
         Err(report) => KeyResult::Failed(report),
     };
-    shared.keys.borrow_mut().end(&organisation, &key, result.clone());
+    shared.keys.borrow_mut().finish(&organisation, &key, result.clone());
     sender.send_replace(Some(result));
 }
 
-async fn run_to_end(
+async fn collect_response(
     shared: &Rc<AgentShared>,
-    call: &GateCall,
-) -> Result<KeptAnswer, FailureReport> {
-    let mut response = send(shared, call).await?;
+    admitted: &AdmittedRequest,
+) -> Result<StoredResponse, FailureReport> {
+    let mut response = send_to_target(shared, admitted).await?;
     let broken = |detail: String| FailureReport::may_have_run(RefusalReason::BrokenAnswer, detail);
     let mut body = BytesMut::new();
     while let Some(piece) = response.next().await {
         let piece = piece.map_err(|error| broken(error.to_string()))?;
-        if body.len() + piece.len() > MAX_KEPT_ANSWER {
+        if body.len() + piece.len() > MAX_STORED_RESPONSE_BYTES {
             return Err(broken("the answer is too large to keep".to_owned()));
         }
-        shared.budget.charge(piece.len());
+        shared.pacer.charge(piece.len());
         body.extend_from_slice(&piece);
     }
     if is_event_stream(&response) && is_model(shared) && !has_done_event(&body) {
@@ -346,31 +352,34 @@
     if let Some(version) = header_text(response.headers(), VERSION_HEADER) {
         headers.push((VERSION_HEADER.to_owned(), version.to_owned()));
     }
-    Ok(KeptAnswer { status: response.status().as_u16(), headers, body: body.freeze() })
+    Ok(StoredResponse { status: response.status().as_u16(), headers, body: body.freeze() })
 }
 
-/// Sends a request to the target and checks that the answer is from the version it was meant for.
-async fn send(shared: &AgentShared, call: &GateCall) -> Result<ClientResponse, FailureReport> {
-    let url = format!("http://{}{}", shared.options.target_address, call.path);
-    let left = call.deadline.saturating_duration_since(Instant::now());
-    let mut request = shared.client.request(call.method.clone(), url).timeout(left);
-    for (name, value) in forwarded_headers(&call.headers) {
+/// Sends a request to the target and checks that the response comes from the expected version.
+async fn send_to_target(
+    shared: &AgentShared,
+    admitted: &AdmittedRequest,
+) -> Result<ClientResponse, FailureReport> {
+    let url = format!("http://{}{}", shared.options.target_address, admitted.path);
+    let left = admitted.deadline.saturating_duration_since(Instant::now());
+    let mut request = shared.client.request(admitted.method.clone(), url).timeout(left);
+    for (name, value) in forwarded_headers(&admitted.headers) {
         request.headers_mut().append(name.clone(), value.clone());
     }
     for name in [REQUEST_ID_HEADER, ORGANISATION_HEADER, RESUME_HEADER, DEADLINE_HEADER] {
-        if let Some(value) = header_text(&call.headers, name) {
+        if let Some(value) = header_text(&admitted.headers, name) {
             request = request.insert_header((name, value));
         }
     }
-    shared.budget.charge(call.body.len());
-    let response = request.send_body(call.body.clone()).await;
+    shared.pacer.charge(admitted.body.len());
+    let response = request.send_body(admitted.body.clone()).await;
     let response = response.map_err(|error| send_failure(&error))?;
-    check_framing(&response, &call.method)?;
-    let expected = header_text(&call.headers, VERSION_HEADER);
-    let answered = header_text(response.headers(), VERSION_HEADER);
-    if is_model(shared) && expected.is_some() && answered != expected {
-        // Failure guarded: the engine was switched behind the agent's back, by an earlier agent or
-        // by hand. It would show as an answer from weights that the profile does not name.
+    check_framing(&response, &admitted.method)?;
+    let expected = header_text(&admitted.headers, VERSION_HEADER);
+    let actual = header_text(response.headers(), VERSION_HEADER);
+    if is_model(shared) && expected.is_some() && actual != expected {
+        // An earlier agent process or an operator switched the engine without this agent. Without
+        // this check, callers would get responses from weights that the profile does not name.
         let detail = "the engine answered from another version";
         return Err(FailureReport::may_have_run(RefusalReason::VersionMismatch, detail));
     }
@@ -379,11 +388,13 @@
 
 impl HttpHandler for GateHandler {
     fn handle(self: Rc<Self>, request: Request) -> LocalBoxFuture<'static, HttpReply> {
-        Box::pin(async move { self.answer(request).await })
+        Box::pin(async move { self.respond(request).await })
     }
 }
 
-fn keyed_of(headers: &HeaderMap) -> Result<Option<(OrganisationName, RequestKey)>, FailureReport> {
+fn idempotency_key(
+    headers: &HeaderMap,
+) -> Result<Option<(OrganisationName, RequestKey)>, FailureReport> {
     let Some(key) = header_text(headers, IDEMPOTENCY_HEADER) else { return Ok(None) };
     let bad = |detail: String| FailureReport::not_run(RefusalReason::BadRequest, detail);
     let organisation = header_text(headers, ORGANISATION_HEADER).unwrap_or_default();
@@ -393,9 +404,9 @@
     Ok(Some((organisation, key)))
 }
 
-fn deadline_of(headers: &HeaderMap) -> Duration {
+fn time_left(headers: &HeaderMap) -> Duration {
     let millis = header_text(headers, DEADLINE_HEADER).and_then(|text| text.parse().ok());
-    millis.map_or(DEFAULT_DEADLINE, Duration::from_millis)
+    millis.map_or(DEFAULT_TIMEOUT, Duration::from_millis)
 }
 
 fn is_model(shared: &AgentShared) -> bool {
--- a/crates/agent/src/gate/relay.rs
+++ b/crates/agent/src/gate/relay.rs
@@ -1,7 +1,7 @@
-//! Passing a target's answer on as it comes, and telling a whole one from a broken one.
+//! Forwards a target's response as it arrives, and tells complete responses from broken ones.
 
-use super::{GateCall, has_done_event, is_event_stream, is_model};
-use crate::shared::{AgentShared, FlightGuard};
+use super::{AdmittedRequest, has_done_event, is_event_stream, is_model};
+use crate::shared::{AgentShared, InFlightGuard};
 use actix_http::{
     Response,
     body::{BodyStream, BoxBody, SizedStream},
@@ -14,12 +14,12 @@
 use std::{io, rc::Rc};
 use tokio::time::Instant;
 
-/// Passes an answer on as it comes.
+/// Forwards a response as it arrives.
 pub(super) fn relay(
     shared: Rc<AgentShared>,
-    call: &GateCall,
+    admitted: &AdmittedRequest,
     response: ClientResponse,
-    flight: FlightGuard,
+    guard: InFlightGuard,
 ) -> HttpReply {
     let mut builder = Response::build(response.status());
     for (name, value) in forwarded_headers(response.headers()) {
@@ -29,18 +29,18 @@
         builder.insert_header((VERSION_HEADER, version));
     }
     let length = header_text(response.headers(), "content-length").and_then(|t| t.parse().ok());
-    let needs_done =
+    let needs_done_event =
         is_event_stream(&response) && response.status().is_success() && is_model(&shared);
-    let relay = AnswerRelay {
+    let relay = ResponseRelay {
         shared,
         response,
-        deadline: call.deadline,
-        needs_done,
+        deadline: admitted.deadline,
+        needs_done_event,
         tail: BytesMut::new(),
         failed: false,
-        _flight: flight,
+        _guard: guard,
     };
-    let pieces = Box::pin(futures::stream::unfold(relay, AnswerRelay::next));
+    let pieces = Box::pin(futures::stream::unfold(relay, ResponseRelay::next));
     let body = match length {
         Some(length) => BoxBody::new(SizedStream::new(length, pieces)),
         None => BoxBody::new(BodyStream::new(pieces)),
@@ -48,19 +48,19 @@
     builder.body(body).map_into_boxed_body()
 }
 
-struct AnswerRelay {
+struct ResponseRelay {
     shared: Rc<AgentShared>,
     response: ClientResponse,
     deadline: Instant,
-    /// Whether the answer is whole only with the last event of a model's stream.
-    needs_done: bool,
-    /// The last bytes passed on, enough to hold the last event.
+    /// Whether the response is complete only with the last event of a model's stream.
+    needs_done_event: bool,
+    /// The last bytes forwarded, enough to hold the last event.
     tail: BytesMut,
     failed: bool,
-    _flight: FlightGuard,
+    _guard: InFlightGuard,
 }
 
-impl AnswerRelay {
+impl ResponseRelay {
     async fn next(mut self) -> Option<(io::Result<Bytes>, Self)> {
         if self.failed {
             return None;
@@ -68,11 +68,11 @@
         let piece = tokio::time::timeout_at(self.deadline, self.response.next()).await;
         let error = match piece {
             Ok(Some(Ok(piece))) => {
-                self.shared.budget.charge(piece.len());
-                self.keep_tail(&piece);
+                self.shared.pacer.charge(piece.len());
+                self.append_to_tail(&piece);
                 return Some((Ok(piece), self));
             }
-            Ok(None) if !self.needs_done || has_done_event(&self.tail) => {
+            Ok(None) if !self.needs_done_event || has_done_event(&self.tail) => {
                 self.shared.counters.answered.inc();
                 return None;
             }
@@ -80,14 +80,15 @@
             Ok(Some(Err(error))) => io::Error::other(error.to_string()),
             Err(_) => io::Error::from(io::ErrorKind::TimedOut),
         };
-        // An error closes the connection without the last chunk: the entry sees a broken answer.
+        // An error closes the connection without the last chunk, so that the entry sees that the
+        // response is incomplete.
         self.failed = true;
         Some((Err(error), self))
     }
 
-    fn keep_tail(&mut self, piece: &Bytes) {
+    fn append_to_tail(&mut self, piece: &Bytes) {
         const TAIL_BYTES: usize = 64;
-        if !self.needs_done {
+        if !self.needs_done_event {
             return;
         }
         self.tail.extend_from_slice(piece);
--- a/crates/agent/src/keys.rs
+++ b/crates/agent/src/keys.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice, by key: the one place that decides whether a key has run.
+//! Idempotency keys of requests: the table that decides whether a key has run at this target.
 
 use bytes::Bytes;
 use egretseam_catalog::{CLAIM_WINDOW_MILLIS, LogTime};
@@ -7,44 +7,45 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// How much longer than its claim a key is remembered here. Covers the lag of the log's clock at
-/// an agent, which is at most [`crate::gate`]'s limit on silence.
+/// How much longer than its claim a key is kept here. Covers the lag of the replicated log's clock
+/// at an agent, which is at most [`crate::gate::MAX_CONFIRMATION_AGE`].
 const MARGIN_MILLIS: u64 = 60_000;
-/// Most keys remembered; beyond it keyed requests are refused rather than keys forgotten.
+/// Most keys in the table. When it is full, new keyed requests are rejected; no key is evicted
+/// early.
 const MAX_KEYS: usize = 50_000;
-/// Most bytes of kept answers; beyond it only the fact that a key has run is kept.
-const MAX_KEPT_BYTES: usize = 16 * 1024 * 1024;
+/// Most bytes of stored response bodies; beyond it only the fact that a key has run is kept.
+const MAX_STORED_BYTES: usize = 16 * 1024 * 1024;
 
-/// An answer kept for resends.
+/// A response stored for retries.
 #[derive(Clone, Debug)]
-pub(crate) struct KeptAnswer {
+pub(crate) struct StoredResponse {
     pub(crate) status: u16,
     pub(crate) headers: Vec<(String, String)>,
     pub(crate) body: Bytes,
 }
 
-/// How a key's run ended, for everybody who waits for it.
+/// How a key's run ended, for all requests that wait for it.
 #[derive(Clone, Debug)]
 pub(crate) enum KeyResult {
-    /// With this answer.
-    Answered(Rc<KeptAnswer>),
-    /// With an answer that is no longer kept.
-    Forgotten,
-    /// Without one.
+    /// The target's response.
+    Response(Rc<StoredResponse>),
+    /// The key has run, but its response was not stored.
+    ResponseDropped,
+    /// There is no complete response.
     Failed(FailureReport),
 }
 
 #[derive(Debug)]
 enum KeyState {
     Running(watch::Receiver<Option<KeyResult>>),
-    Ended(KeyResult),
-    /// Refused before it ran; it will never run here.
-    Refused(RefusalReason),
+    Finished(KeyResult),
+    /// Rejected before it ran; it will never run here.
+    Rejected(RefusalReason),
 }
 
 #[derive(Debug)]
-struct KeyRow {
-    at: LogTime,
+struct KeyRecord {
+    arrived_at: LogTime,
     state: KeyState,
 }
 
@@ -54,55 +55,59 @@
     key: RequestKey,
 }
 
-/// What an arriving key finds.
-pub(crate) enum KeyEntry {
-    /// Nothing: it runs now, and its end is published by this sender.
-    Fresh(watch::Sender<Option<KeyResult>>),
+/// What the table holds for an arriving key.
+pub(crate) enum KeyLookup {
+    /// Nothing: the key runs now, and its result is published through this sender.
+    New(watch::Sender<Option<KeyResult>>),
     /// It is running.
     Running(watch::Receiver<Option<KeyResult>>),
     /// It has run.
-    Ended(KeyResult),
-    /// It was refused here for good.
-    Refused(RefusalReason),
-    /// No room to remember another.
+    Finished(KeyResult),
+    /// It was rejected here and will never run here.
+    Rejected(RefusalReason),
+    /// Nothing, and the table is full.
     Full,
 }
 
-/// All keys remembered by one run of an agent, in the order of their arrival.
+/// The keys that one incarnation of an agent has seen, in the order of their arrival.
 #[derive(Debug, Default)]
 pub(crate) struct KeyTable {
-    rows: IndexMap<KeyId, KeyRow>,
-    kept_bytes: usize,
+    records: IndexMap<KeyId, KeyRecord>,
+    stored_bytes: usize,
 }
 
 impl KeyTable {
-    /// Looks a key up and, if it is new, marks it as running before anything else can happen.
-    pub(crate) fn enter(
+    /// Looks a key up and, if it is new, marks it as running in the same step, so that no other
+    /// request runs it.
+    pub(crate) fn begin(
         &mut self,
         organisation: &OrganisationName,
         key: &RequestKey,
         clock: LogTime,
-    ) -> KeyEntry {
-        self.forget_old(clock);
+    ) -> KeyLookup {
+        self.evict_expired(clock);
         let id = KeyId { organisation: organisation.clone(), key: key.clone() };
-        match self.rows.get(&id).map(|row| &row.state) {
-            Some(KeyState::Running(receiver)) => KeyEntry::Running(receiver.clone()),
-            Some(KeyState::Ended(result)) => KeyEntry::Ended(result.clone()),
-            Some(KeyState::Refused(reason)) => KeyEntry::Refused(*reason),
-            None if self.rows.len() >= MAX_KEYS => KeyEntry::Full,
+        match self.records.get(&id).map(|record| &record.state) {
+            Some(KeyState::Running(receiver)) => KeyLookup::Running(receiver.clone()),
+            Some(KeyState::Finished(result)) => KeyLookup::Finished(result.clone()),
+            Some(KeyState::Rejected(reason)) => KeyLookup::Rejected(*reason),
+            None if self.records.len() >= MAX_KEYS => KeyLookup::Full,
             None => {
                 let (sender, receiver) = watch::channel(None);
-                self.rows.insert(id, KeyRow { at: clock, state: KeyState::Running(receiver) });
-                KeyEntry::Fresh(sender)
+                self.records.insert(
+                    id,
+                    KeyRecord { arrived_at: clock, state: KeyState::Running(receiver) },
+                );
+                KeyLookup::New(sender)
             }
         }
     }
 
-    /// Marks a key that has not run as never to run here. Returns whether that is so.
+    /// Marks an unknown key as never to run here. Returns whether the key is so marked.
     ///
-    /// Failure guarded: an entry is told `not-run` and binds the key elsewhere, while a delayed
-    /// duplicate of the request still arrives here and runs. The mark makes the refusal final.
-    pub(crate) fn refuse(
+    /// Without the mark, an entry that is told `not-run` could bind the key to another target while
+    /// a delayed duplicate of the request still arrives here and runs.
+    pub(crate) fn reject(
         &mut self,
         organisation: &OrganisationName,
         key: &RequestKey,
@@ -110,25 +115,25 @@
         clock: LogTime,
     ) -> bool {
         let id = KeyId { organisation: organisation.clone(), key: key.clone() };
-        if let Some(row) = self.rows.get(&id) {
-            return matches!(row.state, KeyState::Refused(_));
+        if let Some(record) = self.records.get(&id) {
+            return matches!(record.state, KeyState::Rejected(_));
         }
-        if self.rows.len() >= MAX_KEYS {
+        if self.records.len() >= MAX_KEYS {
             return false;
         }
-        self.rows.insert(id, KeyRow { at: clock, state: KeyState::Refused(reason) });
+        self.records.insert(id, KeyRecord { arrived_at: clock, state: KeyState::Rejected(reason) });
         true
     }
 
-    /// Whether a key has been seen here.
-    pub(crate) fn knows(&self, organisation: &OrganisationName, key: &RequestKey) -> bool {
+    /// Whether the table holds a key.
+    pub(crate) fn contains(&self, organisation: &OrganisationName, key: &RequestKey) -> bool {
         let id = KeyId { organisation: organisation.clone(), key: key.clone() };
-        self.rows.contains_key(&id)
+        self.records.contains_key(&id)
     }
 
-    /// Records how a key's run ended. A run that certainly did not reach the target leaves nothing
-    /// behind, so that the key can be tried again here.
-    pub(crate) fn end(
+    /// Records how a key's run ended. If it certainly did not reach the target, the key is removed,
+    /// so that it can be retried here.
+    pub(crate) fn finish(
         &mut self,
         organisation: &OrganisationName,
         key: &RequestKey,
@@ -137,33 +142,36 @@
         let id = KeyId { organisation: organisation.clone(), key: key.clone() };
         let not_run = |report: &FailureReport| report.verdict == RequestVerdict::NotRun;
         if matches!(&result, KeyResult::Failed(report) if not_run(report)) {
-            self.rows.shift_remove(&id);
+            self.records.shift_remove(&id);
             return;
         }
-        let Some(row) = self.rows.get_mut(&id) else { return };
-        if let KeyResult::Answered(answer) = &result {
-            if self.kept_bytes + answer.body.len() > MAX_KEPT_BYTES {
-                result = KeyResult::Forgotten;
+        let Some(record) = self.records.get_mut(&id) else { return };
+        if let KeyResult::Response(response) = &result {
+            if self.stored_bytes + response.body.len() > MAX_STORED_BYTES {
+                result = KeyResult::ResponseDropped;
             } else {
-                self.kept_bytes += answer.body.len();
+                self.stored_bytes += response.body.len();
             }
         }
-        row.state = KeyState::Ended(result);
+        record.state = KeyState::Finished(result);
     }
 
-    /// Keys remembered.
+    /// Number of keys in the table.
     pub(crate) fn len(&self) -> usize {
-        self.rows.len()
+        self.records.len()
     }
 
-    /// Rows stand in the order of their time, so old ones are at the front.
-    fn forget_old(&mut self, clock: LogTime) {
-        let old = |row: &KeyRow| row.at.plus_millis(CLAIM_WINDOW_MILLIS + MARGIN_MILLIS) < clock;
-        let ended = |row: &KeyRow| !matches!(row.state, KeyState::Running(_));
-        let count = self.rows.values().take_while(|row| old(row) && ended(row)).count();
-        for (_, row) in self.rows.drain(..count) {
-            if let KeyState::Ended(KeyResult::Answered(answer)) = row.state {
-                self.kept_bytes -= answer.body.len();
+    /// Removes keys older than their claim plus the margin. Records are in the order of their
+    /// arrival, so the oldest are at the front.
+    fn evict_expired(&mut self, clock: LogTime) {
+        let old = |record: &KeyRecord| {
+            record.arrived_at.plus_millis(CLAIM_WINDOW_MILLIS + MARGIN_MILLIS) < clock
+        };
+        let ended = |record: &KeyRecord| !matches!(record.state, KeyState::Running(_));
+        let count = self.records.values().take_while(|record| old(record) && ended(record)).count();
+        for (_, record) in self.records.drain(..count) {
+            if let KeyState::Finished(KeyResult::Response(response)) = record.state {
+                self.stored_bytes -= response.body.len();
             }
         }
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,15 +1,15 @@
-//! The agent beside one target: announces it, brings its weights, orders its engine, and is the
-//! last gate before it.
+//! The agent beside one target: reports its state to entries, fetches its weights, orders its
+//! engine to load them, and makes the final admission check for its requests.
 //!
-//! `reporter` tells entries what the target does and learns the configuration; `follower` compares
-//! the profile with what the engine reports and closes the gap; `engine` is the engine's own
-//! interface behind a trait; `gate` admits requests; `keys` remembers requests that must not run
-//! twice.
+//! `reporter` reports the target's state to entries and receives the configuration from them;
+//! `reconciler` switches the engine to the weights that the profile names; `weights` fetches them;
+//! `engine` is the client of the engine's HTTP interface, behind a trait; `gate` admits requests
+//! and forwards them to the target; `keys` holds the idempotency keys that have run.
 
 mod engine;
-mod follower;
 mod gate;
 mod keys;
+mod reconciler;
 mod reporter;
 mod runtime;
 mod shared;
--- a/crates/agent/src/reporter.rs
+++ b/crates/agent/src/reporter.rs
@@ -1,8 +1,9 @@
-//! Tells entries what the target does, and learns configuration, lease and swarm from them.
+//! Reports the target's state to entries, and receives the configuration, lease and peers from
+//! their replies.
 //!
-//! An agent reports to a bounded number of entries, those that rank highest for it. Each entry thus
-//! hears from a part of the targets and routes to that part, and neither side's work grows with
-//! the whole.
+//! An agent reports to a bounded number of entries, chosen by rendezvous hashing. Each entry thus
+//! gets the reports of some of the targets and routes to these only. Neither the reports that an
+//! agent sends nor those that an entry receives grow with the size of the fleet.
 
 use crate::shared::AgentShared;
 use egretseam_rpc::{EntryLink, LinkOptions, ReportCall, ReportReply};
@@ -10,39 +11,39 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::Instant;
 
-/// How often the set of entries is looked at.
-const CHOOSE_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause after an entry could not be reached.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// How long an unreachable entry's list of peers is used on.
-const STALE_LIST: Duration = Duration::from_secs(10);
+/// How often the entries to report to are selected again.
+const SELECTION_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay after a report to an entry failed.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// How long the peer list of an unreachable entry is still used.
+const PEER_LIST_RETENTION: Duration = Duration::from_secs(10);
 
-/// Keeps one reporting task for each chosen entry.
+/// Runs one reporting task for each selected entry.
 pub(crate) async fn report_to_entries(shared: Rc<AgentShared>) {
     let mut tasks: IndexMap<String, actix_rt::task::JoinHandle<()>> = IndexMap::new();
     loop {
-        let chosen = choose_entries(&shared);
+        let selected = select_entries(&shared);
         tasks.retain(|address, task| {
-            let keep = chosen.contains(address);
+            let keep = selected.contains(address);
             if !keep {
                 task.abort();
                 shared.peer_lists.borrow_mut().shift_remove(address);
             }
             keep
         });
-        for address in chosen {
+        for address in selected {
             if !tasks.contains_key(&address) {
                 let task = actix_rt::spawn(report_loop(shared.clone(), address.clone()));
                 tasks.insert(address, task);
             }
         }
-        tokio::time::sleep(CHOOSE_INTERVAL).await;
+        tokio::time::sleep(SELECTION_INTERVAL).await;
     }
 }
 
-/// The entries to report to: the announced ones that rank highest for this target; while none is
-/// known, those from the settings.
-fn choose_entries(shared: &AgentShared) -> Vec<String> {
+/// The entries to report to: those in the configuration with the highest rendezvous scores for this
+/// target; while the configuration names none, those from the settings.
+fn select_entries(shared: &AgentShared) -> Vec<String> {
     let view = shared.view();
     let mut known: Vec<String> =
         view.entries.values().map(|entry| entry.peer_address.clone()).collect();
@@ -50,14 +51,15 @@
         known = shared.options.entries.clone();
     }
     let name = shared.options.name.as_str();
-    known.sort_by_key(|address| std::cmp::Reverse(rank(name, address)));
+    known.sort_by_key(|address| std::cmp::Reverse(rendezvous_score(name, address)));
     known.truncate(shared.options.report_fanout);
     known
 }
 
-fn rank(target: &str, entry: &str) -> u64 {
-    const PRIME: u64 = 0x0000_0100_0000_01b3;
-    let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(PRIME);
+/// Rendezvous hash of a target and an entry: FNV-1a, with a final mix of its bits.
+fn rendezvous_score(target: &str, entry: &str) -> u64 {
+    const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+    let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     let hash = target.bytes().chain(entry.bytes()).fold(0xcbf2_9ce4_8422_2325, fold);
     (hash ^ hash >> 31).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
@@ -65,10 +67,10 @@
 async fn report_loop(shared: Rc<AgentShared>, address: String) {
     let link = EntryLink::new(&address, shared.options.secret, LinkOptions::default());
     let mut peers_seen = 0;
-    let mut heard_at = Instant::now();
-    let mut changed = shared.changed.subscribe();
+    let mut last_reply_at = Instant::now();
+    let mut report_trigger = shared.report_trigger.subscribe();
     loop {
-        changed.mark_unchanged();
+        report_trigger.mark_unchanged();
         let sent = Instant::now();
         let call = ReportCall {
             report: shared.report(),
@@ -79,28 +81,28 @@
         shared.counters.reports.inc();
         let reply = tokio::select! {
             reply = link.report(call) => reply,
-            // The state changed while the entry held the last report: the entry must learn of it
-            // now, above all that the target is leaving.
-            _ = changed.changed() => continue,
+            // The state changed while the entry holds the last report. The entry must get the new
+            // state at once, above all that the target is leaving.
+            _ = report_trigger.changed() => continue,
         };
         match reply {
             Ok(reply) => {
-                heard_at = Instant::now();
-                peers_seen = take_reply(&shared, &address, reply, sent, peers_seen);
+                last_reply_at = Instant::now();
+                peers_seen = apply_reply(&shared, &address, reply, sent, peers_seen);
             }
             Err(error) => {
-                tracing::debug!(%error, "an entry took no report");
-                if heard_at.elapsed() > STALE_LIST {
+                tracing::debug!(%error, "could not report to an entry");
+                if last_reply_at.elapsed() > PEER_LIST_RETENTION {
                     shared.peer_lists.borrow_mut().shift_remove(&address);
                     peers_seen = 0;
                 }
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn take_reply(
+fn apply_reply(
     shared: &AgentShared,
     address: &str,
     reply: ReportReply,
@@ -113,7 +115,7 @@
         *shared.view.borrow_mut() = Rc::new(view);
         shared.revision.send_replace(revision);
     }
-    shared.clock.set(shared.clock.get().max(reply.clock));
+    shared.log_clock.set(shared.log_clock.get().max(reply.clock));
     if reply.lease_millis > 0 {
         shared.confirmed_at.set(shared.confirmed_at.get().max(Some(sent)));
     }
--- a/crates/agent/src/runtime.rs
+++ b/crates/agent/src/runtime.rs
@@ -1,11 +1,10 @@
-//! Starting and stopping an agent.
+//! Starts and stops an agent.
 
 use crate::{
     engine::{EngineControl, HttpEngine},
-    follower,
     gate::GateHandler,
     keys::KeyTable,
-    reporter,
+    reconciler, reporter,
     shared::{AgentMetrics, AgentShared},
 };
 use egretseam_http::{
@@ -29,7 +28,7 @@
 /// Why an agent could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The weights' folder cannot be used.
+    /// The folder for weights cannot be used.
     #[error(transparent)]
     Weights(#[from] WeightStoreError),
     /// A listener cannot be used.
@@ -37,7 +36,7 @@
     Listener(#[from] io::Error),
 }
 
-/// What stands behind the agent.
+/// What kind of process the target is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetKind {
     /// A model engine, which loads weights.
@@ -55,19 +54,20 @@
     pub zone: ZoneName,
     /// The target's group.
     pub group: GroupName,
-    /// What stands behind it.
+    /// What kind of process the target is.
     pub kind: TargetKind,
-    /// This run.
+    /// Incarnation of this agent process.
     pub incarnation: Incarnation,
-    /// Shared secret of our processes.
+    /// Secret that the processes of the deployment share.
     pub secret: PeerSecret,
     /// Token that peers present for chunks.
     pub chunk_token: SecretToken,
-    /// `host:port` of entries to begin with; others are learned.
+    /// `host:port` of the entries to report to until the configuration names others.
     pub entries: Vec<String>,
     /// Most entries that this agent reports to.
     pub report_fanout: usize,
-    /// How long a report may wait for news; its reciprocal is the rate of reports.
+    /// How long an entry may hold back its reply to a report while there is no news for the agent.
+    /// Without news, this is the interval between reports.
     pub report_wait: Duration,
     /// `host:port` that entries send requests to.
     pub gate_address: String,
@@ -81,22 +81,22 @@
     pub store_address: Option<String>,
     /// Folder for weights.
     pub folder: PathBuf,
-    /// Bytes of weights that may lie on disk beside those wanted.
+    /// Bytes of weights on disk beyond which those that the profile does not name are removed.
     pub disk_budget: u64,
-    /// Bytes a second that transfers and live answers may use together.
+    /// Bytes per second that transfers and live responses may use together.
     pub link_bytes_per_second: Option<u64>,
-    /// Most chunks given to peers at a time.
+    /// Most chunks uploaded to peers at a time.
     pub upload_slots: usize,
     /// Limits of transfers.
     pub transfer: TransferOptions,
     /// How long a switch may take, from its grant to the engine's report.
     pub switch_timeout: Duration,
-    /// How long requests in progress may take to end before a switch or stop.
+    /// How long a switch waits for the requests in progress to end.
     pub drain_timeout: Duration,
 }
 
 impl AgentOptions {
-    /// Options with the usual limits.
+    /// Options with the default limits.
     pub fn new(
         name: InstanceName,
         zone: ZoneName,
@@ -136,9 +136,9 @@
 /// Bound listeners of an agent.
 #[derive(Debug)]
 pub struct AgentListeners {
-    /// For entries' requests.
+    /// For requests from entries.
     pub gate: TcpListener,
-    /// For peers' chunks.
+    /// For chunk requests from peers.
     pub chunks: TcpListener,
 }
 
@@ -151,7 +151,8 @@
 }
 
 impl AgentRuntime {
-    /// Starts serving and following the profile.
+    /// Starts the listeners and the tasks that report to entries, poll the target and follow the
+    /// profile.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -169,20 +170,20 @@
         let client = http_client(ClientOptions::default());
         let engine: Rc<dyn EngineControl> =
             Rc::new(HttpEngine::new(client.clone(), &options.target_address));
-        let budget = Rc::new(LinkPacer::new(options.link_bytes_per_second));
+        let pacer = Rc::new(LinkPacer::new(options.link_bytes_per_second));
         let token = options.chunk_token.clone();
-        let chunks = Rc::new(ChunkHandler::new(token, budget.clone(), options.upload_slots));
+        let chunks = Rc::new(ChunkHandler::new(token, pacer.clone(), options.upload_slots));
         let shared = Rc::new(AgentShared {
             client,
             metrics: metrics.clone(),
             counters: AgentMetrics::new(metrics),
             engine,
             store: WeightStore::open(&options.folder)?,
-            budget,
+            pacer,
             chunks: chunks.clone(),
             view: RefCell::default(),
             revision: watch::Sender::new(Revision(0)),
-            clock: Cell::default(),
+            log_clock: Cell::default(),
             confirmed_at: Cell::new(None),
             peer_lists: RefCell::default(),
             peers_changed: watch::Sender::new(0),
@@ -192,9 +193,9 @@
             in_flight: Cell::new(0),
             idle: watch::Sender::new(true),
             transfer: Cell::default(),
-            past_transfers: Cell::default(),
+            finished_transfers: Cell::default(),
             sequence: Cell::new(0),
-            changed: watch::Sender::new(0),
+            report_trigger: watch::Sender::new(0),
             keys: RefCell::new(KeyTable::default()),
             stopping: Cell::new(false),
             options,
@@ -204,8 +205,8 @@
         let chunks = spawn_server(listeners.chunks, chunks, ServerOptions::default())?;
         let tasks = vec![
             actix_rt::spawn(reporter::report_to_entries(shared.clone())),
-            actix_rt::spawn(follower::watch_target(shared.clone())),
-            actix_rt::spawn(follower::follow_profile(shared.clone())),
+            actix_rt::spawn(reconciler::poll_target(shared.clone())),
+            actix_rt::spawn(reconciler::reconcile_profile(shared.clone())),
         ];
         Ok(Self { shared, gate, chunks, tasks })
     }
@@ -215,24 +216,25 @@
         &self.shared
     }
 
-    /// Stops without cutting anything off: tells the entries, refuses what is new, finishes what is
-    /// in progress. Returns whether everything had ended within `limit`.
+    /// Stops gracefully: reports to the entries that the target is leaving, rejects new requests,
+    /// and waits for those in progress. Returns whether all of them ended within `limit`.
     pub async fn stop(mut self, limit: Duration) -> bool {
         let deadline = Instant::now() + limit;
         self.shared.stopping.set(true);
         self.shared.set_state(TargetState::Leaving);
-        // Entries are told at once; one that was just cut off stops by itself when reports end.
-        const TELL: Duration = Duration::from_millis(200);
-        tokio::time::sleep(TELL.min(limit)).await;
+        // Entries get the report at once. One that is unreachable just now stops routing to this
+        // target when its reports cease.
+        const NOTIFY_DELAY: Duration = Duration::from_millis(200);
+        tokio::time::sleep(NOTIFY_DELAY.min(limit)).await;
         let left = || deadline.saturating_duration_since(Instant::now());
-        let ended = self.shared.drained(left()).await;
+        let idle = self.shared.wait_until_idle(left()).await;
         let closed = self.gate.drain(left()).await;
         self.chunks.stop();
         self.abort();
-        ended && closed
+        idle && closed
     }
 
-    /// Stops at once, as a crash would.
+    /// Stops at once and drops the requests in progress, as a crash does.
     pub fn abort(&mut self) {
         self.gate.stop();
         self.chunks.stop();
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -22,7 +22,7 @@
 };
 use tokio::{sync::watch, time::Instant};
 
-/// Counters of an agent beside refusals.
+/// Metrics of an agent, except the rejections, which [`DaemonMetrics`] counts.
 #[derive(Clone, Debug)]
 pub(crate) struct AgentMetrics {
     pub(crate) requests: IntCounter,
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(crate) fn show_transfer(&self, report: &TransferReport, past: &TransferReport) {
+    pub(crate) fn record_transfer(&self, report: &TransferReport, past: &TransferReport) {
         self.origin_bytes.set((past.origin_bytes + report.origin_bytes) as i64);
         self.store_bytes.set((past.store_bytes + report.store_bytes) as i64);
         self.peer_bytes.set((past.peer_bytes + report.peer_bytes) as i64);
@@ -92,12 +92,12 @@
     pub(crate) counters: AgentMetrics,
     pub(crate) engine: Rc<dyn EngineControl>,
     pub(crate) store: WeightStore,
-    pub(crate) budget: Rc<LinkPacer>,
+    pub(crate) pacer: Rc<LinkPacer>,
     pub(crate) chunks: Rc<ChunkHandler>,
     pub(crate) view: RefCell<Rc<ConfigView>>,
     pub(crate) revision: watch::Sender<Revision>,
-    pub(crate) clock: Cell<LogTime>,
-    /// When an entry last answered with a confirmed configuration.
+    pub(crate) log_clock: Cell<LogTime>,
+    /// Send time of the latest report that an entry with a confirmed configuration replied to.
     pub(crate) confirmed_at: Cell<Option<Instant>>,
     /// Peers as each entry listed them.
     pub(crate) peer_lists: RefCell<IndexMap<String, Vec<PeerRecord>>>,
@@ -108,29 +108,30 @@
     pub(crate) in_flight: Cell<u32>,
     pub(crate) idle: watch::Sender<bool>,
     pub(crate) transfer: Cell<TransferReport>,
-    /// What ended transfers of this run have done.
-    pub(crate) past_transfers: Cell<TransferReport>,
+    /// Sums over the transfers of this process that have ended.
+    pub(crate) finished_transfers: Cell<TransferReport>,
     pub(crate) sequence: Cell<u64>,
-    pub(crate) changed: watch::Sender<u64>,
+    /// Its count increases whenever entries must get a report at once.
+    pub(crate) report_trigger: watch::Sender<u64>,
     pub(crate) keys: RefCell<KeyTable>,
     pub(crate) stopping: Cell<bool>,
 }
 
 impl AgentShared {
-    /// The target's present state.
+    /// The target's current state.
     pub fn state(&self) -> TargetState {
         self.state.get()
     }
 
-    /// What the target serves from.
+    /// Version of the weights that the target serves.
     pub fn serving(&self) -> Option<ServingVersion> {
         self.serving.borrow().clone()
     }
 
-    /// What transfers have done since the agent started; `chunks_have` and `chunks_total` are of the
-    /// last one.
+    /// Sums over all transfers since the agent started; `chunks_have` and `chunks_total` are those
+    /// of the last transfer.
     pub fn transfers(&self) -> TransferReport {
-        let (past, now) = (self.past_transfers.get(), self.transfer.get());
+        let (past, now) = (self.finished_transfers.get(), self.transfer.get());
         TransferReport {
             chunks_have: now.chunks_have,
             chunks_total: now.chunks_total,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Why the agent cannot do its work, if so.
+    /// Why the target is not ready, if it is not.
     pub fn not_ready(&self) -> Option<String> {
         match self.state.get() {
             TargetState::Serving => None,
@@ -163,11 +164,11 @@
         Some((name.clone(), record.clone()))
     }
 
-    /// Sets the state and has every entry told at once.
+    /// Sets the state and reports a change to the entries at once.
     pub(crate) fn set_state(&self, state: TargetState) {
         if self.state.replace(state) != state {
-            tracing::info!(target_name = %self.options.name, ?state, "the target's state changed");
-            self.announce();
+            tracing::info!(target_name = %self.options.name, ?state, "target state changed");
+            self.trigger_report();
         }
     }
 
@@ -175,29 +176,29 @@
         let changed = *self.serving.borrow() != serving;
         if changed {
             *self.serving.borrow_mut() = serving;
-            self.announce();
+            self.trigger_report();
         }
     }
 
-    pub(crate) fn announce(&self) {
-        self.changed.send_modify(|number| *number += 1);
+    pub(crate) fn trigger_report(&self) {
+        self.report_trigger.send_modify(|count| *count += 1);
     }
 
-    /// Identity that the engine says it answers from, if it answers at all.
+    /// Identity of the weights that the engine serves, if it reports to be ready.
     pub(crate) fn engine_identity(&self) -> Option<ManifestId> {
         let state = self.engine_state.borrow();
         let ready = state.as_ref().filter(|state| state.phase == EnginePhase::Ready)?;
         ready.identity
     }
 
-    /// All peers that any entry lists, without this instance.
+    /// The peers that any entry lists, except this instance.
     pub(crate) fn peers(&self) -> IndexMap<InstanceName, PeerRecord> {
         let lists = self.peer_lists.borrow();
         let all = lists.values().flatten().filter(|peer| peer.target != self.options.name);
         all.map(|peer| (peer.target.clone(), peer.clone())).collect()
     }
 
-    /// The next report.
+    /// Builds the next report.
     pub(crate) fn report(&self) -> TargetReport {
         self.sequence.set(self.sequence.get() + 1);
         let transfer = self.transfer.get();
@@ -224,25 +225,25 @@
         self.confirmed_at.get().is_some_and(|at| at.elapsed() < limit)
     }
 
-    /// Counts a request in; the guard counts it out.
-    pub(crate) fn enter(self: &Rc<Self>) -> FlightGuard {
+    /// Counts a request as in progress until the guard is dropped.
+    pub(crate) fn begin_request(self: &Rc<Self>) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
         self.counters.in_flight.set(i64::from(self.in_flight.get()));
         self.idle.send_replace(false);
-        FlightGuard(self.clone())
+        InFlightGuard(self.clone())
     }
 
-    /// Waits until nothing is in progress, or `limit` has passed; returns whether nothing is.
-    pub(crate) async fn drained(&self, limit: Duration) -> bool {
+    /// Waits until no request is in progress, at most for `limit`. Returns whether none is.
+    pub(crate) async fn wait_until_idle(&self, limit: Duration) -> bool {
         let mut idle = self.idle.subscribe();
         tokio::time::timeout(limit, idle.wait_for(|idle| *idle)).await.is_ok()
     }
 }
 
 /// One request in progress behind the gate.
-pub(crate) struct FlightGuard(Rc<AgentShared>);
+pub(crate) struct InFlightGuard(Rc<AgentShared>);
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let left = self.0.in_flight.get() - 1;
         self.0.in_flight.set(left);
