--- a/tests/all/keyed_requests.rs
+++ b/tests/all/keyed_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be repeated, over real sockets.
+//! Requests with idempotency keys, over real sockets.
 
 use crate::support::{KEY, PATIENCE, TestCluster, block_on, options};
 use egretseam_http::{ClientOptions, http_client, reported_failure};
@@ -6,8 +6,8 @@
 use egretseam_proto::{IDEMPOTENCY_HEADER, RequestVerdict};
 use std::time::Duration;
 
-/// A seat is booked through two entries at the same moment with one key, as by a caller that lost
-/// patience. It must be booked once, and both must be told so.
+/// A booking is sent with one key through two entries at the same time, as by a caller that retries
+/// after a timeout. It must run once, and both requests must get its response.
 #[test]
 fn one_key_through_two_entries_at_once_runs_once() {
     let plain_work = Duration::from_millis(300);
@@ -25,10 +25,10 @@
     assert_eq!(test.cluster.ledger.runs("seat-1"), 1);
 }
 
-/// An entry dies after it has sent a booking on. The caller sends it again, with its key, through
-/// another entry, and gets the answer of the first run.
+/// An entry dies after it has forwarded a booking to the target. A retry with the same key through
+/// another entry must get the response of the first run.
 #[test]
-fn an_entry_that_dies_after_the_send_does_not_double_it() {
+fn a_forwarded_request_runs_once_if_its_entry_dies() {
     let plain_work = Duration::from_millis(800);
     let mut test = TestCluster::start(ClusterOptions { plain_work, ..options(0, 2) });
     let addresses = test.cluster.caller_addresses();
@@ -45,57 +45,59 @@
         let cluster = &mut test.cluster;
         let ledger = cluster.ledger.clone();
         cluster
-            .wait_until("the booking to begin", PATIENCE, || Ok(ledger.runs("seat-2") == 1))
-            .expect("it began");
+            .wait_until("the booking to start", PATIENCE, || Ok(ledger.runs("seat-2") == 1))
+            .expect("started");
         cluster.kill_entry(0);
-        // The caller itself resends by its key, to the address it still knows.
+        // The caller retries with the key at the one address that it knows, that of the dead entry.
         lost.join().expect("no panic");
     });
     assert_eq!(test.book(&addresses[1], "seat-2"), CallOutcome::Answered);
     assert_eq!(test.cluster.ledger.runs("seat-2"), 1);
 }
 
-/// The agent that ran a booking restarts and has forgotten its answer. A resend must not run it
-/// again; the caller is told that it may have run.
+/// The agent that ran a booking restarts and no longer has its response. A retry must not run the
+/// booking again; the caller must be told that it may have run.
 #[test]
-fn a_key_of_an_earlier_agent_run_is_never_run_again() {
+fn a_key_of_an_earlier_incarnation_is_never_run_again() {
     let mut test = TestCluster::start(options(0, 1));
     let addresses = test.cluster.caller_addresses();
     assert_eq!(test.book(&addresses[0], "seat-3"), CallOutcome::Answered);
     test.cluster.kill_agent("plain-0");
     test.cluster.restart_agent("plain-0").expect("restarted");
-    let resend = || Ok(test.book(&addresses[1], "seat-3") == CallOutcome::MayHaveRun);
-    test.cluster.wait_until("a plain verdict", PATIENCE, resend).expect("told");
+    let retry = || Ok(test.book(&addresses[1], "seat-3") == CallOutcome::MayHaveRun);
+    test.cluster
+        .wait_until("the verdict that the booking may have run", PATIENCE, retry)
+        .expect("told");
     assert_eq!(test.cluster.ledger.runs("seat-3"), 1);
-    let fresh = || Ok(test.book(&addresses[1], "seat-4") == CallOutcome::Answered);
-    test.cluster.wait_until("new bookings to run", PATIENCE, fresh).expect("they run");
+    let answered_new = || Ok(test.book(&addresses[1], "seat-4") == CallOutcome::Answered);
+    test.cluster.wait_until("new bookings to run", PATIENCE, answered_new).expect("they run");
 }
 
-/// Two different requests carry the same key by mistake. The second must not be answered with the
-/// first one's answer, nor run.
+/// Two different requests carry the same key by mistake. The second must neither run nor get the
+/// response of the first.
 #[test]
-fn a_key_used_for_another_request_is_refused() {
+fn a_key_used_for_another_request_is_rejected() {
     let test = TestCluster::start(options(0, 1));
     let address = test.cluster.caller_addresses()[0].clone();
     assert_eq!(test.book(&address, "seat-5"), CallOutcome::Answered);
     let (status, verdict) = block_on(async move {
         let client = http_client(ClientOptions::default());
-        let call = client.post(format!("http://{address}/services/orders/orders"));
-        let call = call.bearer_auth(KEY).insert_header((IDEMPOTENCY_HEADER, "seat-5"));
-        let answer = call.send_json(&serde_json::json!({ "id": "another" })).await;
-        let answer = answer.expect("an answer");
-        let report = reported_failure(answer.headers()).expect("a failure");
-        (answer.status().as_u16(), report.verdict)
+        let request = client.post(format!("http://{address}/services/orders/orders"));
+        let request = request.bearer_auth(KEY).insert_header((IDEMPOTENCY_HEADER, "seat-5"));
+        let response = request.send_json(&serde_json::json!({ "id": "another" })).await;
+        let response = response.expect("a response");
+        let report = reported_failure(response.headers()).expect("a failure");
+        (response.status().as_u16(), report.verdict)
     });
     assert_eq!((status, verdict), (422, RequestVerdict::NotRun));
     assert_eq!(test.cluster.ledger.runs("another"), 0);
 }
 
-/// Every control member is lost for a while. An entry must not route by a configuration that may
-/// have been replaced: it says `not-run` until a quorum confirms its configuration again, and then
-/// serves the same revision as before.
+/// All control members are down for a while. An entry must not route by a configuration that may
+/// have been replaced: it rejects requests as `not-run` until a quorum confirms its configuration,
+/// and then serves the same revision as before or a later one.
 #[test]
-fn without_a_quorum_requests_are_refused_as_not_run() {
+fn without_a_quorum_requests_are_rejected_as_not_run() {
     let mut test = TestCluster::start(options(0, 1));
     let address = test.cluster.caller_addresses()[0].clone();
     let before = test.cluster.config().expect("confirmed").revision;
@@ -103,11 +105,11 @@
         test.cluster.kill_control(number);
     }
     let counter = std::cell::Cell::new(0);
-    let refused = || {
+    let rejected = || {
         counter.set(counter.get() + 1);
         Ok(test.book(&address, &format!("dark-{}", counter.get())) == CallOutcome::NotRun)
     };
-    test.cluster.wait_until("the lease to run out", PATIENCE, refused).expect("refused");
+    test.cluster.wait_until("the lease to expire", PATIENCE, rejected).expect("rejected");
     assert_eq!(test.cluster.ledger.runs(&format!("dark-{}", counter.get())), 0);
     for number in 0..3 {
         test.cluster.restart_control(number).expect("restarted");
--- a/tests/all/streams.rs
+++ b/tests/all/streams.rs
@@ -1,4 +1,4 @@
-//! Streamed answers while targets break, leave and change their version.
+//! Streamed responses while targets fail, leave and change their version.
 
 use crate::support::{
     CHUNK_BYTES, KEY, MODEL_BYTES, PATIENCE, TestCluster, model_profile, options,
@@ -8,10 +8,11 @@
 use egretseam_proto::{ProfileName, TargetState};
 use std::{sync::atomic::Ordering, time::Duration};
 
-/// A runner dies in the middle of an answer. The stream goes on at another runner with the same
-/// weights, and the caller sees one whole answer with no token twice or missing.
+/// A target breaks off its streamed responses midway. Each stream must continue at another target
+/// with the same weights, so that the caller gets a complete response with no token repeated or
+/// missing.
 #[test]
-fn a_stream_goes_on_at_another_target_of_the_same_version() {
+fn a_stream_continues_at_another_target_with_the_same_version() {
     let test = TestCluster::start(options(2, 0));
     let broken = test.cluster.agent("runner-0").expect("an agent");
     broken.faults.break_after.store(5, Ordering::Relaxed);
@@ -19,35 +20,36 @@
         let outcome = test.stream(&format!("prompt {number}"), 12, &[test.model.digest]);
         assert_eq!(outcome, CallOutcome::Answered);
     }
-    assert!(broken.counters.requests.load(Ordering::Relaxed) > 0, "the broken one was tried");
+    assert!(broken.counters.requests.load(Ordering::Relaxed) > 0, "runner-0 got no request");
 }
 
-/// A whole zone of runners dies at once, more of them than a request would be sent to in vain if it
-/// gave up early. Every stream that was running there goes on at the one that is left.
+/// Five of six targets die at once, as in the loss of an availability zone. Prevents requests from
+/// giving up after fewer attempts than there are dead targets: every stream must continue at the
+/// target that is left.
 #[test]
-fn streams_outlive_many_targets_that_die_at_once() {
+fn streams_survive_the_death_of_most_targets_at_once() {
     let mut test = TestCluster::start(options(6, 0));
     for number in 0..5 {
         let agent = test.cluster.agent(&format!("runner-{number}")).expect("an agent");
         agent.faults.slowness.store(20, Ordering::Relaxed);
     }
-    let load = load(&test, vec![test.model.digest]);
+    let load = start_load(&test, vec![test.model.digest]);
     let begun = || Ok(load.counts().sent.load(Ordering::Relaxed) > 8);
-    test.cluster.wait_until("load to begin", PATIENCE, begun).expect("begun");
+    test.cluster.wait_until("the load to start", PATIENCE, begun).expect("begun");
     for number in 0..5 {
         test.cluster.kill_target(&format!("runner-{number}"));
         test.cluster.kill_agent(&format!("runner-{number}"));
     }
     let at_kill = load.counts().answered.load(Ordering::Relaxed);
     let more = || Ok(load.counts().answered.load(Ordering::Relaxed) > at_kill + 20);
-    test.cluster.wait_until("the last one to answer", PATIENCE, more).expect("answered");
-    assert_clean(load);
+    test.cluster.wait_until("the remaining target to respond", PATIENCE, more).expect("answered");
+    assert_no_failures(load);
 }
 
-/// An engine ends its streams without the last event, as one that crashes cleanly does. No such
-/// answer may pass for a whole one.
+/// Engines end their streams without the last event, as an engine does that crashes but closes its
+/// connections cleanly. Such a response must not count as complete.
 #[test]
-fn a_stream_without_its_last_event_is_never_whole() {
+fn a_stream_without_its_last_event_is_never_complete() {
     let test = TestCluster::start(options(2, 0));
     for agent in test.cluster.agents() {
         agent.faults.omit_done.store(true, Ordering::Relaxed);
@@ -56,7 +58,7 @@
     assert_eq!(outcome, CallOutcome::CutOff);
 }
 
-fn load(test: &TestCluster, versions: Vec<egretseam_proto::ChunkDigest>) -> LoadThread {
+fn start_load(test: &TestCluster, versions: Vec<egretseam_proto::ChunkDigest>) -> LoadThread {
     let options = LoadOptions {
         seeds: test.cluster.caller_addresses(),
         key: KEY.to_owned(),
@@ -70,7 +72,7 @@
     LoadThread::spawn(options, test.cluster.ledger.clone())
 }
 
-fn assert_clean(load: LoadThread) {
+fn assert_no_failures(load: LoadThread) {
     let counts = load.stop();
     let get = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
     assert!(get(&counts.answered) > 0, "requests were answered");
@@ -79,46 +81,46 @@
     assert_eq!(get(&counts.answered) + get(&counts.not_run), get(&counts.sent));
 }
 
-/// A target and then an entry are stopped gracefully while callers stream. Nothing is cut off, and
-/// the target gets nothing after it said that it was leaving.
+/// A target and then an entry stop gracefully while callers stream. No response may be cut off, and
+/// the target must get no request after its stop.
 #[test]
-fn graceful_stops_cut_nothing_off() {
+fn graceful_stops_cut_off_no_response() {
     let mut test = TestCluster::start(options(3, 0));
-    let load = load(&test, vec![test.model.digest]);
+    let load = start_load(&test, vec![test.model.digest]);
     test.cluster.stop_agent("runner-1");
-    let left = test.cluster.agent("runner-1").expect("an agent").counters.clone();
-    let at_stop = left.requests.load(Ordering::Relaxed);
+    let stopped = test.cluster.agent("runner-1").expect("an agent").counters.clone();
+    let at_stop = stopped.requests.load(Ordering::Relaxed);
     test.cluster.stop_entry(0);
-    assert_eq!(left.requests.load(Ordering::Relaxed), at_stop, "work after leaving");
-    assert_clean(load);
+    assert_eq!(stopped.requests.load(Ordering::Relaxed), at_stop, "requests after the stop");
+    assert_no_failures(load);
 }
 
-/// The profile names a version that no engine can load. One target meets it, the rollout halts,
-/// and everybody goes on being answered from the old version.
+/// The profile names a version that no engine can load. Only one target may try it; the rollout
+/// must halt, and all targets must continue to serve the old version.
 #[test]
-fn a_version_that_fails_to_load_halts_and_the_old_one_serves() {
+fn a_version_that_fails_to_load_halts_the_rollout() {
     let test = TestCluster::start(options(3, 0));
     let bad = test.cluster.publish("model", "v2", 2, MODEL_BYTES, CHUNK_BYTES).expect("published");
     for agent in test.cluster.agents() {
         agent.faults.fail_loads.store(true, Ordering::Relaxed);
     }
-    let load = load(&test, vec![test.model.digest]);
+    let load = start_load(&test, vec![test.model.digest]);
     let name = ProfileName::try_from("model").expect("a valid name");
     let edit = ConfigEdit::ChangeProfile { name: name.clone(), spec: model_profile(&bad) };
     test.cluster.edit(test.revision, edit).expect("accepted");
     let halted = || Ok(test.cluster.config()?.profiles[&name].halted.is_some());
     test.cluster.wait_until("the rollout to halt", PATIENCE, halted).expect("halted");
     test.wait_serving(test.model.manifest, 3);
-    let failed = test.cluster.agents().map(|agent| agent.counters.orders.load(Ordering::Relaxed));
+    let orders = test.cluster.agents().map(|agent| agent.counters.orders.load(Ordering::Relaxed));
     // One order each for the first version, and one for the second at a single target.
-    assert_eq!(failed.sum::<u64>(), 4);
-    assert_clean(load);
+    assert_eq!(orders.sum::<u64>(), 4);
+    assert_no_failures(load);
 }
 
-/// An engine takes an order but its answer is lost, every time. The agent must find out from the
-/// engine's state, and not order again while the engine loads.
+/// An engine accepts orders, but all its responses to them are lost. The agent must determine the
+/// outcome from the engine's state, and send no second order while the engine is loading.
 #[test]
-fn an_order_whose_answer_is_lost_is_settled_by_the_engines_state() {
+fn an_order_with_a_lost_response_is_resolved_by_the_engines_state() {
     let test = TestCluster::start(options(1, 0));
     let next = test.cluster.publish("model", "v2", 2, MODEL_BYTES, CHUNK_BYTES).expect("published");
     let agent = test.cluster.agent("runner-0").expect("an agent");
@@ -132,8 +134,8 @@
     assert_eq!(outcome, CallOutcome::Answered);
 }
 
-/// An engine dies with its process. Its agent takes the target out of service by itself and the
-/// others answer.
+/// An engine's process dies. Its agent must take the target out of service without an operator, and
+/// the other target must serve all requests.
 #[test]
 fn a_dead_engine_leaves_service() {
     let mut test = TestCluster::start(options(2, 0));
