--- a/crates/agent/src/keys.rs
+++ b/crates/agent/src/keys.rs
@@ -1,7 +1,7 @@
 //! Idempotency keys of requests: the table that decides whether a key has run at this target.
 
 use bytes::Bytes;
-use egretseam_catalog::{CLAIM_WINDOW_MILLIS, LogTime};
+use egretseam_catalog::{CLAIM_RETENTION_MILLIS, LogTime};
 use egretseam_proto::{FailureReport, OrganisationName, RefusalReason, RequestKey, RequestVerdict};
 use indexmap::IndexMap;
 use std::rc::Rc;
@@ -165,7 +165,7 @@
     /// arrival, so the oldest are at the front.
     fn evict_expired(&mut self, clock: LogTime) {
         let old = |record: &KeyRecord| {
-            record.arrived_at.plus_millis(CLAIM_WINDOW_MILLIS + MARGIN_MILLIS) < clock
+            record.arrived_at.plus_millis(CLAIM_RETENTION_MILLIS + MARGIN_MILLIS) < clock
         };
         let ended = |record: &KeyRecord| !matches!(record.state, KeyState::Running(_));
         let count = self.records.values().take_while(|record| old(record) && ended(record)).count();
--- a/crates/agent/src/reconciler.rs
+++ b/crates/agent/src/reconciler.rs
@@ -15,7 +15,7 @@
     weights::{self, DesiredWeights},
 };
 use egretseam_catalog::{
-    CatalogCommand, CatalogReply, ProfileRecord, SwitchDenial, SwitchOutcome, SwitchRecord,
+    CatalogCommand, CatalogReply, ProfileRecord, SwitchDenial, SwitchGrant, SwitchOutcome,
     SwitchRequest,
 };
 use egretseam_proto::{ManifestId, ProfileName, ServingVersion, TargetState};
@@ -269,7 +269,7 @@
 
 async fn execute_switch(
     shared: &Rc<AgentShared>,
-    grant: &SwitchRecord,
+    grant: &SwitchGrant,
     desired: &DesiredWeights,
     parts: &[CompleteWeights],
     deadline: Instant,
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -4,7 +4,7 @@
 //! lost then still stands at the others. All of them may be lost: what is known is kept and served
 //! by, and nothing is taken back.
 
-use crate::{place, shared::GatewayShared};
+use crate::{dispatch, shared::GatewayShared};
 use egretseam_delta::PackedDocument;
 use egretseam_rpc::{FeedCall, FeedLink, FeedReader, FeedReply, FeedRoster, LinkOptions};
 use egretseam_serving::RouteTable;
@@ -187,8 +187,8 @@
         if self.failures == LOST_AFTER {
             let member = self.link.address();
             tracing::warn!(member, %error, "a control member does not answer");
-            shared.places.borrow_mut().targets.source_lost(self.source);
-            shared.note_roster(self.source, None);
+            shared.dispatch.borrow_mut().targets.source_lost(self.source);
+            shared.apply_roster(self.source, None);
             // What it knew is asked for again from the start when it is back.
             self.position = FeedPosition::default();
         }
@@ -201,24 +201,24 @@
         self.failures = 0;
         let now = Instant::now();
         {
-            let mut places = shared.places.borrow_mut();
+            let mut dispatch = shared.dispatch.borrow_mut();
             if self.position.run != reply.run && self.position.run != 0 {
-                places.targets.source_restarted(self.source, now);
+                dispatch.targets.source_restarted(self.source, now);
             }
             for id in &reply.gone {
-                places.targets.remove_target(id, now);
+                dispatch.targets.remove_target(id, now);
             }
             for news in &reply.targets {
                 log_target(news);
-                places.targets.apply_target(self.source, news, now);
+                dispatch.targets.apply_target(self.source, news, now);
             }
             for news in &reply.engines {
-                places.targets.apply_engine(news, now);
+                dispatch.targets.apply_engine(news, now);
             }
         }
         for id in &reply.gone {
             tracing::info!(target_id = %id, "a target left");
-            shared.pool.borrow_mut().forget(id);
+            shared.pool.borrow_mut().remove_target(id);
         }
         let has_news = !reply.targets.is_empty() || !reply.engines.is_empty();
         if let Some(roster) = reply.roster {
@@ -232,7 +232,7 @@
         // Whoever says that there is a newer one is asked for it, unless another was quicker.
         self.position.config_version = reply.config_version;
         if has_news {
-            place::pump_all(shared);
+            dispatch::dispatch_all(shared);
         }
     }
 
@@ -242,12 +242,12 @@
             self.followed.name(member);
         }
         {
-            let mut places = shared.places.borrow_mut();
+            let mut dispatch = shared.dispatch.borrow_mut();
             for named in &roster.versions {
-                places.targets.apply_version(named, shared.options.version_limit, now);
+                dispatch.targets.apply_version(named, shared.options.staleness_bound, now);
             }
         }
-        shared.note_roster(self.source, Some(roster.entries));
+        shared.apply_roster(self.source, Some(roster.entries));
     }
 }
 
@@ -285,6 +285,6 @@
         "configuration in force"
     );
     shared.metrics.config_version.set(config.version as i64);
-    shared.patience.borrow_mut().retain(|name| config.routes.iter().any(|r| r.name == name));
+    shared.retry_detector.borrow_mut().retain(|name| config.routes.iter().any(|r| r.name == name));
     shared.set_routes(RouteTable::new(config));
 }
