--- a/crates/agent/src/reconciler.rs
+++ b/crates/agent/src/reconciler.rs
@@ -44,8 +44,8 @@
 /// How long a plain service may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Polls the target, and takes it out of service when it does not respond or its state contradicts
-/// what it is supposed to serve.
+/// Polls the target and updates its state. Takes it out of service when it does not respond, or when
+/// the engine reports other weights than the target is supposed to serve.
 pub(crate) async fn poll_target(shared: Rc<AgentShared>) {
     let mut failures = 0;
     loop {
@@ -168,7 +168,7 @@
 }
 
 /// Puts the target into service with the desired weights, which the engine reports, and removes
-/// other weights from the disk.
+/// other weights if the store exceeds `disk_budget`.
 fn mark_serving(shared: &AgentShared, desired: &DesiredWeights) {
     let manifest = desired.identity();
     let serving = ServingVersion { version: desired.base.version.clone(), manifest };
@@ -349,8 +349,8 @@
     Some(SwitchOutcome::Failed { reason: failure.message.clone() })
 }
 
-/// Ends the switch: puts the target back into service if the engine reports the weights that it is
-/// to serve.
+/// Ends the switch: puts the target back into service with the new weights if they were loaded, or
+/// with the previous ones if the engine still reports them.
 fn restore_state(shared: &AgentShared, desired: &DesiredWeights, outcome: &SwitchOutcome) {
     if *outcome == SwitchOutcome::Loaded {
         mark_serving(shared, desired);
