--- a/crates/agent/src/reconciler.rs
+++ b/crates/agent/src/reconciler.rs
@@ -44,8 +44,8 @@
 /// How long a plain service may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Polls the target and updates its state. Takes it out of service when it does not respond, or when
-/// the engine reports other weights than the target is supposed to serve.
+/// Polls the target and updates its state. Takes it out of service when it does not respond, or
+/// when the engine reports other weights than the target is supposed to serve.
 pub(crate) async fn poll_target(shared: Rc<AgentShared>) {
     let mut failures = 0;
     loop {
