--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -7,7 +7,7 @@
     TargetKindSetting,
 };
 use egretseam_control::{
-    ControlOptions, ControlRuntime, HealthSource, OperatorHandler, TargetsSource,
+    ControlOptions, ControlRuntime, OperatorHandler, ReadinessSource, TargetsSource,
 };
 use egretseam_entry::{EntryListeners, EntryOptions, EntryRuntime, EntryShared};
 use egretseam_http::{DaemonMetrics, SecretToken, ServerHandle, ServerOptions, spawn_server};
@@ -165,7 +165,7 @@
         );
         let operator =
             spawn_server(listeners.operator, Rc::new(handler), ServerOptions::default())?;
-        let stop_limit = settings.stop_limit;
+        let stop_limit = settings.stop_timeout;
         Ok(Self { control, entry, agent, operator, metrics, stop_limit })
     }
 
@@ -226,7 +226,7 @@
     options.peer_address = entry.advertised_peer_address.clone();
     options.lease = entry.lease;
     // Three watches fit into a lease, so one lost answer does not end it.
-    options.watch_wait = entry.lease / 3;
+    options.max_watch_wait = entry.lease / 3;
     options.address_lifetime = entry.address_lifetime;
     options.default_deadline = entry.default_deadline;
     options.max_body_bytes = entry.max_body_bytes as usize;
@@ -266,7 +266,7 @@
     options.store_address = agent.store_address.clone();
     options.disk_budget = agent.disk_budget_bytes;
     options.link_bytes_per_second = agent.link_bytes_per_second;
-    options.switch_limit = agent.switch_limit;
+    options.switch_timeout = agent.switch_timeout;
     options.transfer.policy.scheme = match agent.distribution {
         DistributionSetting::Swarm => DistributionScheme::Swarm,
         DistributionSetting::OriginOnly => DistributionScheme::OriginOnly,
@@ -304,7 +304,7 @@
     }
 }
 
-impl HealthSource for RoleViews {
+impl ReadinessSource for RoleViews {
     fn not_ready(&self) -> Option<String> {
         if let Some(entry) = &self.entry {
             if entry.is_stopping() {
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,9 +1,9 @@
-//! One sending of a request to one target, up to the head of its answer.
+//! One attempt: sends a request to one target and reads the head of its response.
 
 use crate::{
-    dialect::{AnswerMarks, TargetSend},
-    place::PlaceGuard,
-    pool::{self, CONNECT_LIMIT, FURTHER_CONNECT_LIMIT},
+    dialect::{ResponseMetadata, TargetRequest},
+    dispatch::SlotGuard,
+    pool::{self, CONNECT_TIMEOUT, STREAM_RETRY_CONNECT_TIMEOUT},
     request::RequestState,
     shared::GatewayShared,
 };
@@ -11,246 +11,255 @@
 use egretseam_serving::{AttemptOutcome, TargetId};
 use tokio::time::Instant;
 
-/// Largest body that is read off a refusal to keep its connection.
-const REFUSAL_BODY: usize = 16 * 1024;
-/// Most answers to other requests that are passed over before the connection is given up.
-const MAX_STRAY_ANSWERS: usize = 2;
-/// Most bytes that a caller may send ahead while its answer is awaited.
-pub(crate) const SENT_AHEAD: usize = 64 * 1024;
+/// Largest body of a rejection that is read and discarded so that its connection can be reused.
+const MAX_REJECTION_BODY_BYTES: usize = 16 * 1024;
+/// Most responses to other requests that are discarded before the connection is closed.
+const MAX_STRAY_RESPONSES: usize = 2;
+/// Most bytes that a caller may pipeline while its response is pending. After more, the entry no
+/// longer notices that the caller disconnects.
+pub(crate) const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 
-/// An answer whose head is here and whose body is still to come.
-pub(crate) struct OpenAnswer {
+/// A response whose head has been read and whose body has not.
+pub(crate) struct OpenResponse {
     pub(crate) connection: HttpConnection,
     pub(crate) head: ResponseHead,
-    pub(crate) marks: AnswerMarks,
+    pub(crate) marks: ResponseMetadata,
 }
 
-impl OpenAnswer {
-    /// Reader of the body.
+impl OpenResponse {
+    /// A reader for the body of the response to a request with this method.
     pub(crate) fn body(&self, method: &[u8]) -> BodyReader {
         BodyReader::new(self.head.framing(method))
     }
 }
 
-/// Why there is no answer from a target.
+/// Why an attempt got no response from its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptFailure {
-    /// No connection: nothing reached the target.
+    /// No connection could be opened, so nothing reached the target.
     Unreachable,
-    /// The target says that it did not run the request: it has no room.
+    /// The target stated that it did not run the request because it is full.
     Full,
-    /// The target says that it did not run the request: it is another one.
+    /// The target stated that it did not run the request because it is not the one addressed.
     OtherTarget,
-    /// The connection broke or the answer is not one; the request may have run.
+    /// The connection failed or the response is invalid; the request may have run.
     Broken,
-    /// No answer within the time that this attempt had; the request may have run.
-    Silent,
-    /// The caller left.
+    /// No response before the deadline of the attempt; the request may have run.
+    TimedOut,
+    /// The caller disconnected.
     CallerLeft,
 }
 
 impl AttemptFailure {
-    /// Reason in logs and metrics.
+    /// The name of the reason in logs and metrics.
     pub(crate) fn slug(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
             Self::Full => "target-full",
             Self::OtherTarget => "other-target",
             Self::Broken => "broken-answer",
-            Self::Silent => "no-answer",
+            Self::TimedOut => "no-answer",
             Self::CallerLeft => "caller-left",
         }
     }
 
     /// Whether the request may have run at the target.
     pub(crate) fn may_have_run(self) -> bool {
-        matches!(self, Self::Broken | Self::Silent)
+        matches!(self, Self::Broken | Self::TimedOut)
     }
 
     /// Whether the request reached the target.
-    pub(crate) fn arrived(self) -> bool {
+    pub(crate) fn reached_target(self) -> bool {
         self != Self::Unreachable
     }
 
-    /// What the failure says about the target.
+    /// The outcome to record in the target's health.
     pub(crate) fn outcome(self) -> AttemptOutcome {
         match self {
             Self::Unreachable => AttemptOutcome::Unreachable,
             Self::Full => AttemptOutcome::Full,
-            Self::OtherTarget | Self::Broken | Self::Silent => AttemptOutcome::Failed,
+            Self::OtherTarget | Self::Broken | Self::TimedOut => AttemptOutcome::Failed,
             Self::CallerLeft => AttemptOutcome::Abandoned,
         }
     }
 }
 
-/// How one attempt reaches its target, and for how long.
+/// Deadline and connection of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AttemptTerms {
-    /// When the answer must begin.
-    pub(crate) patience: Instant,
-    /// Whether the request goes over a new connection although one is kept.
-    pub(crate) opens_connection: bool,
+pub(crate) struct AttemptOptions {
+    /// When the attempt times out if the head of the response has not been read.
+    pub(crate) response_deadline: Instant,
+    /// Whether to open a new connection even if the pool has an idle one.
+    pub(crate) new_connection: bool,
 }
 
-/// Sends the request and waits for the head of the answer.
-pub(crate) async fn open_answer(
+/// Sends the request to the target of `slot` and reads the head of the response.
+pub(crate) async fn open_response(
     shared: &GatewayShared,
     caller: &mut HttpConnection,
     request: &RequestState,
-    place: &PlaceGuard,
-    terms: AttemptTerms,
-) -> Result<OpenAnswer, AttemptFailure> {
-    let mut connection = connection_to(shared, place, terms.opens_connection).await?;
-    let send = TargetSend {
-        target: &place.target,
+    slot: &SlotGuard,
+    options: AttemptOptions,
+) -> Result<OpenResponse, AttemptFailure> {
+    let mut connection = acquire_connection(shared, slot, options.new_connection).await?;
+    let send = TargetRequest {
+        target: &slot.target,
         organisation: request.organisation(),
         time_left: request.deadline.saturating_duration_since(Instant::now()),
-        urgent: request.answering,
-        last_event: request.last_event.as_deref(),
+        urgent: request.response_started,
+        last_event_id: request.last_event_id.as_deref(),
         body: &request.body,
     };
     let bytes = shared.dialect.write_request(&request.head, &send);
     let exchange = async {
         connection.write(&bytes).await.map_err(|_| AttemptFailure::Broken)?;
-        read_own_head(shared, &mut connection, request).await
+        read_matching_head(shared, &mut connection, request).await
     };
-    let awaited = AwaitedAnswer::begin(shared, place);
+    let timer = FirstByteTimer::start(shared, slot);
     let sent_at = Instant::now();
-    let answered = tokio::select! {
-        answered = tokio::time::timeout_at(terms.patience, exchange) => {
-            awaited.end();
-            answered.unwrap_or(Err(AttemptFailure::Silent))
+    let result = tokio::select! {
+        result = tokio::time::timeout_at(options.response_deadline, exchange) => {
+            timer.stop();
+            result.unwrap_or(Err(AttemptFailure::TimedOut))
         }
-        () = caller.closed(SENT_AHEAD) => {
-            log_left(shared, request, place, sent_at);
+        () = caller.closed(MAX_PIPELINED_BYTES) => {
+            log_caller_left(shared, request, slot, sent_at);
             Err(AttemptFailure::CallerLeft)
         }
     };
-    let (head, marks) = match answered {
-        Ok(answer) => answer,
-        // Failure guarded: a target works for a caller that left, or on a request that another
-        // target has by now. An orderly close is queued behind the request; a reset discards what
-        // is still queued here and ends what has arrived.
+    let (head, marks) = match result {
+        Ok(response) => response,
+        // Without a reset the target would work for a caller that has left, or on a request that
+        // another target has by now. An orderly close is queued behind the request; a reset
+        // discards the bytes still queued here and cancels a request that has arrived.
         Err(failure) => {
             connection.abort();
             return Err(failure);
         }
     };
-    if let Some(busy) = marks.busy {
+    if let Some(busy) = marks.load {
         let now = Instant::now();
-        shared.places.borrow_mut().targets.record_load(&place.target, busy, now);
+        shared.dispatch.borrow_mut().targets.record_load(&slot.target, busy, now);
     }
-    let answer = OpenAnswer { connection, head, marks };
-    if answer.marks.not_run {
-        return Err(refuse(shared, request, place, answer).await);
+    let response = OpenResponse { connection, head, marks };
+    if response.marks.not_executed {
+        return Err(drain_rejection(shared, request, slot, response).await);
     }
-    // Failure guarded: a success without the target's signature is not the target's answer, for
-    // example the rest of a broken one. Passing it on would be a wrong answer.
-    if answer.head.status < 300 && !answer.marks.signed {
+    // A success without the target's signature is not the target's response to this request; it
+    // may be the remainder of a broken one. Forwarding it would give the caller a wrong response.
+    if response.head.status < 300 && !response.marks.signed {
         return Err(AttemptFailure::Broken);
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// One line for each request whose caller left before its target answered: how long it was on its way or
-/// at work there by then, and what was known of the target's link.
-fn log_left(shared: &GatewayShared, request: &RequestState, place: &PlaceGuard, sent_at: Instant) {
-    let link_delay = shared.places.borrow().targets.link_delay(&place.target);
+/// Logs a request whose caller disconnected before the target responded: the time since the request
+/// was sent, which it spent in flight or running at the target, and the known delay of the target's
+/// link.
+fn log_caller_left(
+    shared: &GatewayShared,
+    request: &RequestState,
+    slot: &SlotGuard,
+    sent_at: Instant,
+) {
+    let link_delay = shared.dispatch.borrow().targets.link_delay(&slot.target);
     tracing::info!(
         request_id = %request.terms.id,
-        target_id = %place.target,
+        target_id = %slot.target,
         awaited_millis = sent_at.elapsed().as_millis() as u64,
         link_delay_millis = link_delay.as_millis() as u64,
-        "the caller left before its target answered"
+        "caller disconnected before the target responded"
     );
 }
 
-/// A request whose first byte is awaited. Dropped before its end it says nothing of its target.
-struct AwaitedAnswer<'a> {
+/// Measures the time to the first byte of a response. Dropped before [`Self::stop`], it records
+/// nothing about the target.
+struct FirstByteTimer<'a> {
     shared: &'a GatewayShared,
     target: &'a TargetId,
     sent_at: Instant,
 }
 
-impl<'a> AwaitedAnswer<'a> {
-    fn begin(shared: &'a GatewayShared, place: &'a PlaceGuard) -> Self {
+impl<'a> FirstByteTimer<'a> {
+    fn start(shared: &'a GatewayShared, slot: &'a SlotGuard) -> Self {
         let sent_at = Instant::now();
-        let target = &place.target;
-        shared.places.borrow_mut().targets.record_sent(target, sent_at);
+        let target = &slot.target;
+        shared.dispatch.borrow_mut().targets.record_sent(target, sent_at);
         Self { shared, target, sent_at }
     }
 
-    /// The first byte came. One that was waited for in vain counts with the time it was waited for.
-    fn end(self) {
+    /// Records the time to the first byte, or the time waited if the attempt failed or timed out.
+    fn stop(self) {
         let now = Instant::now();
-        self.shared.places.borrow_mut().targets.record_first_byte(self.target, self.sent_at, now);
+        self.shared.dispatch.borrow_mut().targets.record_first_byte(self.target, self.sent_at, now);
     }
 }
 
-impl Drop for AwaitedAnswer<'_> {
+impl Drop for FirstByteTimer<'_> {
     fn drop(&mut self) {
-        self.shared.places.borrow_mut().targets.stop_awaiting(self.target, self.sent_at);
+        self.shared.dispatch.borrow_mut().targets.stop_awaiting(self.target, self.sent_at);
     }
 }
 
-async fn connection_to(
+async fn acquire_connection(
     shared: &GatewayShared,
-    place: &PlaceGuard,
-    opens: bool,
+    slot: &SlotGuard,
+    new_connection: bool,
 ) -> Result<HttpConnection, AttemptFailure> {
-    let take = || shared.pool.borrow_mut().take(&place.target, Instant::now());
-    let kept = if opens { None } else { take() };
-    if let Some(connection) = kept {
+    let take = || shared.pool.borrow_mut().take(&slot.target, Instant::now());
+    let idle = if new_connection { None } else { take() };
+    if let Some(connection) = idle {
         return Ok(connection);
     }
     shared.metrics.connections_opened.inc();
-    let limit = if opens { FURTHER_CONNECT_LIMIT } else { CONNECT_LIMIT };
-    pool::connect(place.address, limit).await.map_err(|error| {
-        tracing::debug!(target_id = %place.target, %error, "no connection to a target");
+    let limit = if new_connection { STREAM_RETRY_CONNECT_TIMEOUT } else { CONNECT_TIMEOUT };
+    pool::connect(slot.address, limit).await.map_err(|error| {
+        tracing::debug!(target_id = %slot.target, %error, "failed to connect to target");
         AttemptFailure::Unreachable
     })
 }
 
-/// Reads heads until one answers this request.
+/// Reads response heads until one belongs to this request.
 ///
-/// Failure guarded: a target may answer a request twice, and the second answer arrives where the
-/// next request's is expected. Targets repeat the request's id; an answer with another id is read
-/// off and passed over.
-async fn read_own_head(
+/// A target may respond to a request twice, so that the second response arrives where that to the
+/// next request is expected. Targets echo the request id; a response with another id is read and
+/// discarded.
+async fn read_matching_head(
     shared: &GatewayShared,
     connection: &mut HttpConnection,
     request: &RequestState,
-) -> Result<(ResponseHead, AnswerMarks), AttemptFailure> {
-    for _ in 0..=MAX_STRAY_ANSWERS {
+) -> Result<(ResponseHead, ResponseMetadata), AttemptFailure> {
+    for _ in 0..=MAX_STRAY_RESPONSES {
         let head = connection.read_response().await.map_err(|_| AttemptFailure::Broken)?;
-        let marks = shared.dialect.read_marks(&head);
-        if marks.request.as_deref().is_none_or(|id| id == request.terms.id) {
+        let marks = shared.dialect.read_response_metadata(&head);
+        if marks.request_id.as_deref().is_none_or(|id| id == request.terms.id) {
             return Ok((head, marks));
         }
-        tracing::warn!(request_id = %request.terms.id, "an answer to another request was dropped");
+        tracing::warn!(request_id = %request.terms.id, "discarding a response to another request");
         let reader = BodyReader::new(head.framing(&request.head.method));
-        let body = connection.read_body(reader, REFUSAL_BODY).await;
+        let body = connection.read_body(reader, MAX_REJECTION_BODY_BYTES).await;
         body.map_err(|_| AttemptFailure::Broken)?;
     }
     Err(AttemptFailure::Broken)
 }
 
-/// Takes a statement that the request did not run, and keeps its connection if it is sound.
-async fn refuse(
+/// Reads the rest of a response that states that the request did not run, and returns its
+/// connection to the pool if it can be reused.
+async fn drain_rejection(
     shared: &GatewayShared,
     request: &RequestState,
-    place: &PlaceGuard,
-    answer: OpenAnswer,
+    slot: &SlotGuard,
+    response: OpenResponse,
 ) -> AttemptFailure {
-    let other = answer.marks.other_target;
-    let reader = answer.body(&request.head.method);
-    let keeps = answer.head.keeps_alive() && !other;
-    let mut connection = answer.connection;
-    let body = connection.read_body(reader, REFUSAL_BODY).await;
-    if keeps && body.is_ok() {
+    let is_other_target = response.marks.wrong_target;
+    let reader = response.body(&request.head.method);
+    let reusable = response.head.keeps_alive() && !is_other_target;
+    let mut connection = response.connection;
+    let body = connection.read_body(reader, MAX_REJECTION_BODY_BYTES).await;
+    if reusable && body.is_ok() {
         let now = Instant::now();
-        let keep = answer.marks.keep_alive;
-        shared.pool.borrow_mut().put(&place.target, connection, keep, now);
+        let idle_timeout = response.marks.keep_alive;
+        shared.pool.borrow_mut().put(&slot.target, connection, idle_timeout, now);
     }
-    if other { AttemptFailure::OtherTarget } else { AttemptFailure::Full }
+    if is_other_target { AttemptFailure::OtherTarget } else { AttemptFailure::Full }
 }
--- /dev/null
+++ b/crates/gateway/src/dispatch.rs
@@ -0,0 +1,292 @@
+//! Dispatch of requests to targets: the targets, the requests that wait for a slot, and the slots
+//! that requests occupy.
+
+use crate::shared::GatewayShared;
+use egretseam_proto::{ModelName, ServiceName, ZoneName};
+use egretseam_serving::{
+    AttemptOutcome, PlacementOutcome, PlacementPolicy, PlacementQuery, TargetId, TargetTable,
+    WaitPolicy, WaitQueue, WaitTicket, WaitUrgency,
+};
+use indexmap::IndexMap;
+use std::{net::SocketAddr, rc::Rc, time::Duration};
+use tokio::{sync::oneshot, time::Instant};
+
+/// Interval of dispatching waiting requests, in addition to when a slot is released. An entry's
+/// estimate of a target's load decays with time, so a slot can become free without an event.
+pub(crate) const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A request in a wait queue.
+struct WaitingRequest {
+    model: Option<ModelName>,
+    tried: Vec<TargetId>,
+    late: bool,
+    first_byte_deadline: Option<Instant>,
+    sender: oneshot::Sender<SlotGuard>,
+}
+
+/// Targets and wait queues of one entry.
+pub(crate) struct DispatchState {
+    pub(crate) targets: TargetTable,
+    queues: IndexMap<ServiceName, WaitQueue<WaitingRequest>>,
+    waiting: WaitPolicy,
+}
+
+impl DispatchState {
+    pub(crate) fn new(placement: PlacementPolicy, zone: ZoneName, waiting: WaitPolicy) -> Self {
+        Self { targets: TargetTable::new(placement, zone), queues: IndexMap::new(), waiting }
+    }
+
+    fn queue(&mut self, service: &ServiceName) -> &mut WaitQueue<WaitingRequest> {
+        let waiting = self.waiting;
+        self.queues.entry(service.clone()).or_insert_with(|| WaitQueue::new(waiting))
+    }
+
+    /// Whether any request waits for a slot.
+    pub(crate) fn has_waiters(&self) -> bool {
+        self.queues.values().any(|queue| !queue.is_empty())
+    }
+}
+
+/// An occupied slot at a target, released when dropped.
+pub(crate) struct SlotGuard {
+    shared: Rc<GatewayShared>,
+    service: ServiceName,
+    pub(crate) target: TargetId,
+    pub(crate) address: SocketAddr,
+    released: bool,
+}
+
+impl SlotGuard {
+    /// Releases the slot and records the outcome of the attempt.
+    pub(crate) fn finish(mut self, outcome: AttemptOutcome) {
+        self.release(outcome);
+    }
+
+    fn release(&mut self, outcome: AttemptOutcome) {
+        if std::mem::replace(&mut self.released, true) {
+            return;
+        }
+        let now = Instant::now();
+        let is_unavailable =
+            self.shared.dispatch.borrow_mut().targets.finish_attempt(&self.target, outcome, now);
+        if is_unavailable {
+            tracing::info!(target_id = %self.target, ?outcome, "target ejected or unreachable");
+        }
+        dispatch_waiting(&self.shared, &self.service);
+    }
+}
+
+impl Drop for SlotGuard {
+    fn drop(&mut self) {
+        self.release(AttemptOutcome::Abandoned);
+    }
+}
+
+/// A request for a slot at a target.
+#[derive(Clone, Copy)]
+pub(crate) struct SlotRequest<'a> {
+    pub(crate) service: &'a ServiceName,
+    pub(crate) model: Option<&'a ModelName>,
+    pub(crate) tried: &'a [TargetId],
+    pub(crate) urgency: WaitUrgency,
+    /// See [`PlacementQuery::first_byte_deadline`].
+    pub(crate) first_byte_deadline: Option<Instant>,
+    /// When waiting ends at the latest.
+    pub(crate) wait_deadline: Instant,
+}
+
+/// Result of a [`SlotRequest`].
+pub(crate) enum SlotReply {
+    /// A slot, occupied by the request.
+    Acquired(SlotGuard),
+    /// No slot was free in time; retry after this delay.
+    Full(Duration),
+    /// No target can run the request; retry after this delay.
+    NoTarget(Duration),
+}
+
+/// Occupies a slot for a request: at once if one is free and the queue of its service is empty,
+/// else after a wait in that queue.
+pub(crate) async fn acquire_slot(
+    shared: &Rc<GatewayShared>,
+    request: &SlotRequest<'_>,
+) -> SlotReply {
+    let pending = match acquire_or_enqueue(shared, request) {
+        Ok(reply) => return reply,
+        Err(pending) => pending,
+    };
+    let wait_started_at = Instant::now();
+    let PendingSlot { receiver, give_up_at, queue_guard } = pending;
+    let slot = tokio::time::timeout_at(give_up_at, receiver).await;
+    shared.metrics.wait_seconds.observe(wait_started_at.elapsed().as_secs_f64());
+    drop(queue_guard);
+    match slot {
+        Ok(Ok(guard)) => SlotReply::Acquired(guard),
+        Ok(Err(_)) | Err(_) => reject_full(shared, request.service),
+    }
+}
+
+/// A queued request for a slot.
+struct PendingSlot {
+    receiver: oneshot::Receiver<SlotGuard>,
+    give_up_at: Instant,
+    queue_guard: QueueGuard,
+}
+
+/// Removes a request from its queue when dropped, because its wait has ended or its caller has
+/// disconnected.
+struct QueueGuard {
+    shared: Rc<GatewayShared>,
+    service: ServiceName,
+    ticket: WaitTicket,
+}
+
+impl Drop for QueueGuard {
+    fn drop(&mut self) {
+        self.shared.dispatch.borrow_mut().queue(&self.service).remove(self.ticket);
+    }
+}
+
+fn acquire_or_enqueue(
+    shared: &Rc<GatewayShared>,
+    request: &SlotRequest<'_>,
+) -> Result<SlotReply, PendingSlot> {
+    let now = Instant::now();
+    let mut dispatch = shared.dispatch.borrow_mut();
+    let query = PlacementQuery {
+        service: request.service,
+        model: request.model,
+        tried: request.tried,
+        late: request.urgency.is_late(),
+        first_byte_deadline: request.first_byte_deadline,
+    };
+    let choice = dispatch.targets.choose(&query, now);
+    let queue_is_empty = dispatch.queue(request.service).is_empty();
+    let in_outage = choice == PlacementOutcome::NoTarget;
+    match choice {
+        PlacementOutcome::NoTarget if !dispatch.targets.expects_capacity(request.service, now) => {
+            let after = dispatch.queue(request.service).retry_after(rand::random());
+            return Ok(SlotReply::NoTarget(after));
+        }
+        PlacementOutcome::Target(target) if queue_is_empty => {
+            record_placed(dispatch.queue(request.service), request.urgency.is_late(), now);
+            if let Some(guard) = occupy_slot(shared, &mut dispatch, request.service, target) {
+                return Ok(SlotReply::Acquired(guard));
+            }
+        }
+        PlacementOutcome::Target(_) | PlacementOutcome::Full | PlacementOutcome::NoTarget => {}
+    }
+    let urgency = if in_outage { request.urgency.for_outage() } else { request.urgency };
+    let (sender, receiver) = oneshot::channel();
+    let waiting_request = WaitingRequest {
+        model: request.model.cloned(),
+        tried: request.tried.to_vec(),
+        late: urgency.is_late(),
+        first_byte_deadline: request.first_byte_deadline,
+        sender,
+    };
+    let median_first_byte = dispatch.targets.median_first_byte(request.service, now);
+    let queue = dispatch.queue(request.service);
+    let limit = if in_outage {
+        queue.outage_limit()
+    } else {
+        queue.wait_limit(&urgency, median_first_byte)
+    };
+    let give_up_at = (now + limit).min(request.wait_deadline);
+    let queued = if in_outage {
+        queue.push_without_prediction(&urgency, give_up_at, waiting_request)
+    } else {
+        queue.push(&urgency, give_up_at, waiting_request, now)
+    };
+    match queued {
+        Ok(ticket) => {
+            let (shared, service) = (shared.clone(), request.service.clone());
+            let queue_guard = QueueGuard { shared, service, ticket };
+            Err(PendingSlot { receiver, give_up_at, queue_guard })
+        }
+        Err(_) => {
+            queue.record_rejected(now);
+            let after = queue.retry_after(rand::random());
+            Ok(SlotReply::Full(after))
+        }
+    }
+}
+
+fn record_placed(queue: &mut WaitQueue<WaitingRequest>, is_late: bool, now: Instant) {
+    if is_late { queue.record_late_placed(now) } else { queue.record_placed(now) }
+}
+
+fn reject_full(shared: &GatewayShared, service: &ServiceName) -> SlotReply {
+    let mut dispatch = shared.dispatch.borrow_mut();
+    let queue = dispatch.queue(service);
+    queue.record_rejected(Instant::now());
+    SlotReply::Full(queue.retry_after(rand::random()))
+}
+
+fn occupy_slot(
+    shared: &Rc<GatewayShared>,
+    dispatch: &mut DispatchState,
+    service: &ServiceName,
+    target: TargetId,
+) -> Option<SlotGuard> {
+    let address = dispatch.targets.address(&target)?;
+    dispatch.targets.start_attempt(&target, Instant::now());
+    let (shared, service) = (shared.clone(), service.clone());
+    Some(SlotGuard { shared, service, target, address, released: false })
+}
+
+/// Dispatches the waiting requests of a service to free slots, most urgent first.
+pub(crate) fn dispatch_waiting(shared: &Rc<GatewayShared>, service: &ServiceName) {
+    let mut dispatched = Vec::new();
+    {
+        let now = Instant::now();
+        let mut dispatch = shared.dispatch.borrow_mut();
+        while let Some((ticket, target)) = next_dispatch(&mut dispatch, service, now) {
+            let Some(request) = dispatch.queue(service).remove(ticket) else { break };
+            record_placed(dispatch.queue(service), ticket.is_late(), now);
+            if let Some(guard) = occupy_slot(shared, &mut dispatch, service, target) {
+                dispatched.push((request.sender, guard));
+            }
+        }
+    }
+    for (sender, guard) in dispatched {
+        // If the receiver has been dropped, so is the guard, and the slot goes to the next request.
+        sender.send(guard).ok();
+    }
+}
+
+/// Dispatches the waiting requests of all services to free slots.
+pub(crate) fn dispatch_all(shared: &Rc<GatewayShared>) {
+    let services: Vec<ServiceName> = {
+        let dispatch = shared.dispatch.borrow();
+        let waiting = dispatch.queues.iter().filter(|(_, queue)| !queue.is_empty());
+        waiting.map(|(service, _)| service.clone()).collect()
+    };
+    for service in services {
+        dispatch_waiting(shared, &service);
+    }
+}
+
+fn next_dispatch(
+    dispatch: &mut DispatchState,
+    service: &ServiceName,
+    now: Instant,
+) -> Option<(WaitTicket, TargetId)> {
+    let queue = dispatch.queues.get(service)?;
+    for (ticket, request) in queue.iter() {
+        let query = PlacementQuery {
+            service,
+            model: request.model.as_ref(),
+            tried: &request.tried,
+            late: request.late,
+            first_byte_deadline: request.first_byte_deadline,
+        };
+        match dispatch.targets.choose(&query, now) {
+            PlacementOutcome::Target(target) => return Some((ticket, target)),
+            // This request excludes the targets that it has tried; others may still find a slot.
+            PlacementOutcome::Full | PlacementOutcome::NoTarget if !request.tried.is_empty() => {}
+            PlacementOutcome::Full | PlacementOutcome::NoTarget => return None,
+        }
+    }
+    None
+}
