--- a/crates/bench/src/burst.rs
+++ b/crates/bench/src/burst.rs
@@ -160,7 +160,7 @@
             let pieces = 100 * u64::from(CHUNK_BYTES) / (32 * 1024);
             let one_in = pieces.div_euclid(self.corrupt).max(1);
             for agent in cluster.agents() {
-                agent.chunk_link.damage_one_in.store(one_in, Ordering::Relaxed);
+                agent.chunk_link_faults.damage_one_in.store(one_in, Ordering::Relaxed);
             }
         }
         self.burst(&mut cluster, &model)
@@ -211,7 +211,7 @@
         }
         for number in self.kill..self.kill + self.stall {
             if let Some(agent) = cluster.agent(&format!("runner-{number}")) {
-                agent.chunk_link.frozen.store(true, Ordering::Relaxed);
+                agent.chunk_link_faults.frozen.store(true, Ordering::Relaxed);
             }
         }
     }
--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -94,7 +94,7 @@
         std::thread::sleep(Duration::from_secs(1));
         let idle = idle_costs(daemons);
         let idle_peak_mib = (resident_mib() - memory_before).max(0.0) / daemons;
-        let seeds = cluster.control_peers();
+        let seeds = cluster.control_peer_addresses();
         let single = run_writers(&seeds, 1, LOAD_TIME, u64::MAX)?;
         let grouped = run_writers(&seeds, WRITERS, LOAD_TIME, u64::MAX)?;
         let mut in_force = BTreeMap::new();
--- a/crates/bench/src/requests.rs
+++ b/crates/bench/src/requests.rs
@@ -141,7 +141,7 @@
         }
         let revision = cluster.define_profile("model", profile(&first)?)?;
         cluster.bind_service("chat", "model")?;
-        cluster.wait_replicas("runners", Some(first.manifest), TARGETS, STEP_LIMIT)?;
+        cluster.wait_for_replicas("runners", Some(first.manifest), TARGETS, STEP_LIMIT)?;
         // Past the slow start of all targets.
         std::thread::sleep(Duration::from_secs(6));
         let (hits, misses) = cache_counts(&cluster);
@@ -149,9 +149,9 @@
         std::thread::sleep(FAULT_AT);
         let after_leave = self.disturb(&mut cluster, &second, revision)?;
         let result = load.join().map_err(|_| anyhow::anyhow!("the load failed"))??;
-        let entries: Vec<String> = cluster.running_entry_operators();
+        let entries: Vec<String> = cluster.running_entry_operator_addresses();
         let sums = MetricSums::read(&entries)?;
-        let agents = MetricSums::read(&cluster.running_agent_operators())?;
+        let agents = MetricSums::read(&cluster.running_agent_operator_addresses())?;
         let requests = sums.get("egretseam_entry_requests_total").max(1.0);
         let (hits_after, misses_after) = cache_counts(&cluster);
         let (hits, misses) = (hits_after - hits, misses_after - misses);
--- a/crates/bench/src/requests/overhead.rs
+++ b/crates/bench/src/requests/overhead.rs
@@ -72,7 +72,7 @@
     spec.max_in_flight = 64;
     cluster.define_profile("model", spec)?;
     cluster.bind_service("chat", "model")?;
-    cluster.wait_replicas("runners", Some(model.manifest), 1, STEP_LIMIT)?;
+    cluster.wait_for_replicas("runners", Some(model.manifest), 1, STEP_LIMIT)?;
     let target = cluster.agent("runner-0").map(|agent| agent.target_address.clone());
     let target = target.unwrap_or_default();
     let (_relay, relay) = start_relay(target.clone())?;
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -326,7 +326,7 @@
         plain_agents: 0,
         ..ClusterOptions::default()
     })?;
-    let seeds = cluster.control_peers();
+    let seeds = cluster.control_peer_addresses();
     let (mut cpu, mut bytes) = (Vec::new(), Vec::new());
     for watchers in [50, 200, 400] {
         let (used, sent) = watch_idle(&seeds, watchers)?;
--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -127,7 +127,7 @@
 
     /// Sets how long one address may take. A frozen instance accepts connections and says nothing,
     /// and its address stays on the list until control has missed it.
-    pub fn with_call_limit(mut self, limit: Duration) -> Self {
+    pub fn with_attempt_timeout(mut self, limit: Duration) -> Self {
         self.call_limit = limit;
         self
     }
@@ -334,13 +334,13 @@
 }
 
 /// Callers on a thread of their own, until stopped.
-pub struct LoadThread {
+pub struct LoadGenerator {
     stop: Arc<AtomicBool>,
     counts: Arc<CallerCounts>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl LoadThread {
+impl LoadGenerator {
     /// Starts the load.
     pub fn spawn(options: LoadOptions, ledger: PlainLedger) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
@@ -377,7 +377,7 @@
     }
 }
 
-impl Drop for LoadThread {
+impl Drop for LoadGenerator {
     fn drop(&mut self) {
         self.end();
     }
--- a/crates/local/src/cluster.rs
+++ b/crates/local/src/cluster.rs
@@ -62,7 +62,7 @@
     /// Lifetime of the list of addresses in seconds.
     pub address_lifetime_seconds: u64,
     /// Time that a plain call takes.
-    pub plain_work: Duration,
+    pub booking_delay: Duration,
     /// How weights reach instances: `swarm`, or a baseline.
     pub distribution: &'static str,
     /// How entries choose targets: `balanced`, or a baseline.
@@ -85,7 +85,7 @@
             link_bytes_per_second: None,
             lease_millis: 3_000,
             address_lifetime_seconds: 2,
-            plain_work: Duration::from_millis(5),
+            booking_delay: Duration::from_millis(5),
             distribution: "swarm",
             routing: "balanced",
             chunk_relays: false,
@@ -117,7 +117,7 @@
     /// What the engine did.
     pub counters: Arc<EngineCounters>,
     /// Misbehaviour of the link to its chunks, if that goes through a relay.
-    pub chunk_link: Arc<RelayFaults>,
+    pub chunk_link_faults: Arc<RelayFaults>,
     /// `host:port` of the engine or service.
     pub target_address: String,
     /// `host:port` of the agent's operators' listener.
@@ -160,7 +160,7 @@
     pub const PEER_TOKEN: &'static str = PEER_TOKEN;
 
     /// `host:port` of the control members' peer listeners.
-    pub fn control_peers(&self) -> Vec<String> {
+    pub fn control_peer_addresses(&self) -> Vec<String> {
         let address = |member: &LocalDaemon| {
             member.settings["control"]["peer_address"].as_str().unwrap_or_default().to_owned()
         };
@@ -235,12 +235,12 @@
     }
 
     /// Operators' address of entry `number`.
-    pub fn entry_operator(&self, number: usize) -> &str {
+    pub fn entry_operator_address(&self, number: usize) -> &str {
         &self.entries[number].operator_address
     }
 
     /// Operators' address of control member `number`.
-    pub fn control_operator(&self, number: usize) -> &str {
+    pub fn control_operator_address(&self, number: usize) -> &str {
         &self.control[number].operator_address
     }
 
@@ -367,7 +367,7 @@
     ///
     /// # Errors
     /// Fails if `limit` passes first.
-    pub fn wait_replicas(
+    pub fn wait_for_replicas(
         &self,
         group: &str,
         manifest: Option<ManifestId>,
--- a/crates/local/src/cluster/faults.rs
+++ b/crates/local/src/cluster/faults.rs
@@ -56,13 +56,13 @@
     }
 
     /// Operators' addresses of the running entries.
-    pub fn running_entry_operators(&self) -> Vec<String> {
+    pub fn running_entry_operator_addresses(&self) -> Vec<String> {
         let running = self.entries.iter().filter(|entry| entry.daemon.is_some());
         running.map(|entry| entry.operator_address.clone()).collect()
     }
 
     /// Operators' addresses of the running agents.
-    pub fn running_agent_operators(&self) -> Vec<String> {
+    pub fn running_agent_operator_addresses(&self) -> Vec<String> {
         let running = self.agents.values().filter(|agent| agent.daemon.is_some());
         running.map(|agent| agent.operator_address.clone()).collect()
     }
--- a/crates/local/src/cluster/setup.rs
+++ b/crates/local/src/cluster/setup.rs
@@ -132,10 +132,10 @@
             "switch_limit_millis": 60_000,
             "distribution": self.options.distribution,
         });
-        let chunk_link = Arc::new(RelayFaults::default());
+        let chunk_link_faults = Arc::new(RelayFaults::default());
         let mut relay = None;
         if self.options.chunk_relays {
-            let (thread, address) = start_relay(name, &addresses[2], chunk_link.clone())?;
+            let (thread, address) = start_relay(name, &addresses[2], chunk_link_faults.clone())?;
             agent["advertised_chunk_address"] = json!(address);
             relay = Some(thread);
         }
@@ -157,7 +157,7 @@
             zone: self.zone(number),
             faults,
             counters,
-            chunk_link,
+            chunk_link_faults,
             target_address,
             operator_address: addresses[0].clone(),
             settings,
@@ -184,7 +184,7 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?.to_string();
         let (options, ledger, work) =
-            (self.options.engine, self.ledger.clone(), self.options.plain_work);
+            (self.options.engine, self.ledger.clone(), self.options.booking_delay);
         let thread = SystemThread::spawn(&format!("{name}-target"), move || {
             Ok(if is_model {
                 FakeEngine::start(options, faults, counters, listener)?
--- a/crates/local/src/drill.rs
+++ b/crates/local/src/drill.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     bound::BurstBound,
-    caller::{LoadOptions, LoadThread},
+    caller::{LoadGenerator, LoadOptions},
     cluster::{ClusterOptions, LocalCluster, PublishedModel},
 };
 use anyhow::Context;
@@ -105,18 +105,20 @@
     cluster.bind_service("assistant", "assistant")?;
     let begun = Instant::now();
     let group = "runners";
-    cluster.wait_replicas(group, Some(first.manifest), options.replicas, STEP_LIMIT)?;
+    cluster.wait_for_replicas(group, Some(first.manifest), options.replicas, STEP_LIMIT)?;
     let time_to_n = begun.elapsed();
     let origin_copies = copies_fetched(&cluster, 0, bytes);
     progress("callers begin; changing to version v2 under load");
-    let load =
-        LoadThread::spawn(load_options(&cluster, options, &first, &second), cluster.ledger.clone());
+    let load = LoadGenerator::spawn(
+        load_options(&cluster, options, &first, &second),
+        cluster.ledger.clone(),
+    );
     let fetched = cluster.origin.counters.bytes.load(Ordering::Relaxed);
     let name = ProfileName::try_from("assistant")?;
     let edit = ConfigEdit::ChangeProfile { name, spec: profile(&second)? };
     cluster.edit(revision, edit)?;
     let begun = Instant::now();
-    cluster.wait_replicas(group, Some(second.manifest), options.replicas, STEP_LIMIT)?;
+    cluster.wait_for_replicas(group, Some(second.manifest), options.replicas, STEP_LIMIT)?;
     let change = begun.elapsed();
     let change_copies = copies_fetched(&cluster, fetched, bytes);
     progress("stopping one target gracefully under load");
@@ -161,7 +163,7 @@
     };
     cluster.define_profile("orders", spec)?;
     cluster.bind_service("orders", "orders")?;
-    cluster.wait_replicas("plain", None, cluster.options().plain_agents, STEP_LIMIT)?;
+    cluster.wait_for_replicas("plain", None, cluster.options().plain_agents, STEP_LIMIT)?;
     Ok(())
 }
 
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -9,7 +9,7 @@
 
 pub use crate::{
     bound::BurstBound,
-    caller::{CallOutcome, CallerClient, CallerCounts, LoadOptions, LoadThread},
+    caller::{CallOutcome, CallerClient, CallerCounts, LoadGenerator, LoadOptions},
     cluster::{ClusterOptions, LocalAgent, LocalCluster, PublishedModel},
     drill::{DrillOptions, DrillReport, run_drill},
     system_thread::SystemThread,
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -103,7 +103,7 @@
 #[test]
 fn operators_receive_the_reason_of_a_rejection() {
     let test = TestCluster::start(options(0, 0));
-    let base = format!("http://{}", test.cluster.entry_operator(0));
+    let base = format!("http://{}", test.cluster.entry_operator_address(0));
     let token = test.cluster.operator_token();
     let token = Some(token.expose());
     let edits = format!("{base}/v1/edits");
--- a/tests/all/keyed_requests.rs
+++ b/tests/all/keyed_requests.rs
@@ -10,8 +10,8 @@
 /// after a timeout. It must run once, and both requests must get its response.
 #[test]
 fn one_key_through_two_entries_at_once_runs_once() {
-    let plain_work = Duration::from_millis(300);
-    let test = TestCluster::start(ClusterOptions { plain_work, ..options(0, 2) });
+    let booking_delay = Duration::from_millis(300);
+    let test = TestCluster::start(ClusterOptions { booking_delay, ..options(0, 2) });
     let addresses = test.cluster.caller_addresses();
     let outcomes: Vec<CallOutcome> = std::thread::scope(|scope| {
         let book = |address: &String| {
@@ -29,8 +29,8 @@
 /// another entry must get the response of the first run.
 #[test]
 fn a_forwarded_request_runs_once_if_its_entry_dies() {
-    let plain_work = Duration::from_millis(800);
-    let mut test = TestCluster::start(ClusterOptions { plain_work, ..options(0, 2) });
+    let booking_delay = Duration::from_millis(800);
+    let mut test = TestCluster::start(ClusterOptions { booking_delay, ..options(0, 2) });
     let addresses = test.cluster.caller_addresses();
     let first = addresses[0].clone();
     let ledger = test.cluster.ledger.clone();
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -195,7 +195,7 @@
         block_on(async move {
             // Shorter than the default, for the address of a frozen instance is still on the list.
             let caller = CallerClient::new(&seeds, KEY, Arc::new(CallerCounts::default()));
-            let caller = caller.with_call_limit(Duration::from_secs(3));
+            let caller = caller.with_attempt_timeout(Duration::from_secs(3));
             caller.book("orders", &id, &ledger).await
         })
     }
--- a/tests/all/streams.rs
+++ b/tests/all/streams.rs
@@ -4,7 +4,7 @@
     CHUNK_BYTES, KEY, MODEL_BYTES, PATIENCE, TestCluster, model_profile, options,
 };
 use egretseam_catalog::ConfigEdit;
-use egretseam_local::{CallOutcome, LoadOptions, LoadThread};
+use egretseam_local::{CallOutcome, LoadGenerator, LoadOptions};
 use egretseam_proto::{ProfileName, TargetState};
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -58,7 +58,7 @@
     assert_eq!(outcome, CallOutcome::CutOff);
 }
 
-fn start_load(test: &TestCluster, versions: Vec<egretseam_proto::ChunkDigest>) -> LoadThread {
+fn start_load(test: &TestCluster, versions: Vec<egretseam_proto::ChunkDigest>) -> LoadGenerator {
     let options = LoadOptions {
         seeds: test.cluster.caller_addresses(),
         key: KEY.to_owned(),
@@ -69,10 +69,10 @@
         tokens: 10,
         versions,
     };
-    LoadThread::spawn(options, test.cluster.ledger.clone())
+    LoadGenerator::spawn(options, test.cluster.ledger.clone())
 }
 
-fn assert_no_failures(load: LoadThread) {
+fn assert_no_failures(load: LoadGenerator) {
     let counts = load.stop();
     let get = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
     assert!(get(&counts.answered) > 0, "requests were answered");
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -61,13 +61,15 @@
         let test = Self { cluster, model, revision };
         test.wait_serving(test.model.manifest, test.cluster.options().model_agents);
         let plain = test.cluster.options().plain_agents;
-        test.cluster.wait_replicas("plain", None, plain, PATIENCE).expect("plain targets serve");
+        test.cluster
+            .wait_for_replicas("plain", None, plain, PATIENCE)
+            .expect("plain targets serve");
         test
     }
 
     /// Waits until so many model targets serve a version.
     pub(crate) fn wait_serving(&self, manifest: egretseam_proto::ManifestId, count: usize) {
-        let waited = self.cluster.wait_replicas("runners", Some(manifest), count, PATIENCE);
+        let waited = self.cluster.wait_for_replicas("runners", Some(manifest), count, PATIENCE);
         waited.expect("model targets serve");
     }
 
