--- a/examples/embed_replica.rs
+++ b/examples/embed_replica.rs
@@ -1,17 +1,21 @@
-//! A replicated log of one member, driven by hand.
+//! Drives a replicated log with a single member: proposes commands, carries out the node's output,
+//! and prints the committed commands.
 
 use egretseam_replica::{
     EntryPayload, GroupId, LogStore, MemberId, ReplicaConfig, ReplicaNode, StoreError,
 };
 use std::{path::Path, time::Duration};
 
-/// Carries out what the node wants until it wants nothing more.
-fn drive(node: &mut ReplicaNode, store: &mut LogStore) -> Result<Vec<Vec<u8>>, StoreError> {
-    let mut applied = Vec::new();
+/// Carries out the node's output until there is none left, and returns the committed commands.
+fn process_output(
+    node: &mut ReplicaNode,
+    store: &mut LogStore,
+) -> Result<Vec<Vec<u8>>, StoreError> {
+    let mut commands = Vec::new();
     loop {
         let output = node.take_output();
         if output.is_empty() {
-            return Ok(applied);
+            return Ok(commands);
         }
         // With more members: send `send_now` here, and `send_after_sync` after `record_sync`.
         if !output.writes.is_empty() {
@@ -20,7 +24,7 @@
         node.record_sync();
         for entry in output.committed {
             if let EntryPayload::Command(bytes) = entry.payload {
-                applied.push(bytes);
+                commands.push(bytes);
             }
         }
     }
@@ -44,11 +48,11 @@
     let (mut store, identity, state) = LogStore::open(folder)?;
     let mut node = ReplicaNode::new(&identity, state, ReplicaConfig::default().check()?, 1);
     node.tick(Duration::from_millis(1));
-    drive(&mut node, &mut store)?;
+    process_output(&mut node, &mut store)?;
     node.propose(b"first".to_vec())?;
     node.propose(b"second".to_vec())?;
-    for command in drive(&mut node, &mut store)? {
-        println!("accepted and synced: {}", String::from_utf8_lossy(&command));
+    for command in process_output(&mut node, &mut store)? {
+        println!("committed and synced: {}", String::from_utf8_lossy(&command));
     }
     Ok(())
 }
--- a/examples/embed_routing.rs
+++ b/examples/embed_routing.rs
@@ -1,4 +1,4 @@
-//! Choosing targets by their reports.
+//! Chooses a target for each request from the targets' reports, and ends each request as failed.
 
 use egretseam_proto::{
     GroupName, Incarnation, InstanceName, RefusalReason, TargetReport, TargetState, ZoneName,
--- a/examples/embed_swarm.rs
+++ b/examples/embed_swarm.rs
@@ -1,4 +1,4 @@
-//! Planning one instance's fetches: what to ask of whom.
+//! Plans the chunk fetches of one instance: which chunk to fetch from which source.
 
 use egretseam_proto::{InstanceName, ZoneName};
 use egretseam_swarm::{
@@ -20,9 +20,10 @@
     while !planner.have().is_full() {
         now += Duration::from_millis(20);
         for order in planner.plan(now) {
-            // An embedder fetches here and checks the digest before it says so.
-            let damaged = order.chunk == 3 && planner.bad_chunks() == 0;
-            if damaged {
+            // A real embedder fetches the chunk here and checks its digest before it records the
+            // fetch. This example treats the first copy of chunk 3 as corrupt.
+            let is_corrupt = order.chunk == 3 && planner.bad_chunks() == 0;
+            if is_corrupt {
                 planner.record_failed(&order, FetchFailure::Corrupt, now);
             } else {
                 planner.record_fetched(&order, now);
@@ -34,7 +35,7 @@
             println!(
                 "chunk {:2} from {from}{}",
                 order.chunk,
-                if damaged { ", damaged" } else { "" }
+                if is_corrupt { ", corrupt" } else { "" }
             );
         }
     }
