--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -1,5 +1,6 @@
-//! A caller as the interface asks callers to be: it learns which addresses to use, keeps the answer
-//! for its lifetime, goes to the next address when it is told `not-run`, and checks every answer.
+//! A caller that follows the rules of the caller interface: it fetches the list of entry addresses,
+//! caches it for its lifetime, retries at the next address after the verdict `not-run`, and checks
+//! every response.
 
 use awc::{Client, http::StatusCode};
 use egretseam_fakes::{ExpectedAnswer, PlainLedger};
@@ -19,34 +20,35 @@
 };
 use tokio::time::Instant;
 
-/// How long a caller waits for an answer.
-const CALL_LIMIT: Duration = Duration::from_secs(30);
-/// Most addresses that a caller tries for one request.
-const MAX_TRIES: usize = 6;
-/// Pause before a caller tries after every address has refused.
-const TRY_PAUSE: Duration = Duration::from_millis(50);
+/// Default timeout of one attempt, applied to the response head and again to the body.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of attempts for one request, each at the next address.
+const MAX_ATTEMPTS: usize = 6;
+/// Pause after an attempt that failed and may be retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What became of one request.
+/// Outcome of one request, including its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Whole and right.
+    /// The response was complete and correct.
     Answered,
-    /// Whole, but not the answer to this request from any published version.
+    /// The response was complete, but has another status than 200 or 201, or no published version
+    /// gives it to this request.
     Wrong,
-    /// Told that it was not run.
+    /// The verdict was `not-run`, or the last attempt failed to connect.
     NotRun,
-    /// Told that it may have run.
+    /// An error response said that the request may have run.
     MayHaveRun,
-    /// Broke off after it had begun.
+    /// The response began, but its body ended early or did not end within the timeout.
     CutOff,
-    /// No answer of any kind.
+    /// No response arrived, and the request may have reached the target.
     Lost,
 }
 
-/// What became of all requests.
+/// Counts of requests by outcome.
 #[derive(Debug, Default)]
 pub struct CallerCounts {
-    /// Requests begun.
+    /// Requests started; retries are not counted.
     pub sent: AtomicU64,
     /// See [`CallOutcome::Answered`].
     pub answered: AtomicU64,
@@ -60,9 +62,10 @@
     pub lost: AtomicU64,
     /// See [`CallOutcome::CutOff`].
     pub cut_off: AtomicU64,
-    /// Sends to a further address.
+    /// Attempts after the first one of a request.
     pub retried: AtomicU64,
-    /// Requests told `not-run` that the ledger shows as run, or answered ones that it does not.
+    /// Bookings whose outcome contradicts the ledger: `not-run` but booked, answered but not booked
+    /// exactly once, or any other outcome and booked more than once.
     pub false_verdicts: AtomicU64,
 }
 
@@ -91,7 +94,7 @@
     lifetime_seconds: u64,
 }
 
-/// One caller.
+/// A caller with a cached list of entry addresses, which it uses in turn.
 pub struct CallerClient {
     client: Client,
     key: String,
@@ -99,11 +102,11 @@
     addresses: RefCell<Vec<String>>,
     expires_at: Cell<Option<Instant>>,
     turn: Cell<usize>,
-    call_limit: Duration,
+    attempt_timeout: Duration,
     counts: Arc<CallerCounts>,
 }
 
-/// A request as it is sent to one address.
+/// A request, the same for every attempt.
 struct CallerRequest<'a> {
     path: &'a str,
     body: &'a serde_json::Value,
@@ -111,7 +114,8 @@
 }
 
 impl CallerClient {
-    /// A caller that knows some addresses to begin with.
+    /// Creates a caller. It fetches the address list from `seeds`, and sends to them while it has
+    /// no list.
     pub fn new(seeds: &[String], key: &str, counts: Arc<CallerCounts>) -> Self {
         Self {
             client: http_client(ClientOptions::default()),
@@ -120,19 +124,19 @@
             addresses: RefCell::default(),
             expires_at: Cell::new(None),
             turn: Cell::new(rand::random::<u16>() as usize),
-            call_limit: CALL_LIMIT,
+            attempt_timeout: ATTEMPT_TIMEOUT,
             counts,
         }
     }
 
-    /// Sets how long one address may take. A frozen instance accepts connections and says nothing,
-    /// and its address stays on the list until control has missed it.
-    pub fn with_attempt_timeout(mut self, limit: Duration) -> Self {
-        self.call_limit = limit;
+    /// Sets the timeout of one attempt. A frozen instance accepts connections but sends nothing,
+    /// and its address stays on the list until the control members notice that it is missing.
+    pub fn with_attempt_timeout(mut self, timeout: Duration) -> Self {
+        self.attempt_timeout = timeout;
         self
     }
 
-    /// Asks for `tokens` tokens and checks them against each published version.
+    /// Requests a completion of `tokens` tokens. It is correct if one of `versions` gives it.
     pub async fn complete(
         &self,
         service: &str,
@@ -145,22 +149,25 @@
             "model": service, "prompt": prompt, "max_tokens": tokens, "stream": stream,
         });
         let request = CallerRequest { path: "/v1/completions", body: &body, key: None };
-        let right = |text: &str| {
+        let is_expected = |text: &str| {
             versions.iter().any(|v| ExpectedAnswer::new(*v, prompt).text(tokens) == text)
         };
         let outcome = self
-            .until_taken(&request, |bytes| text_of(bytes, stream).is_some_and(|text| right(&text)))
+            .send_with_retries(&request, |bytes| {
+                completion_text(bytes, stream).is_some_and(|text| is_expected(&text))
+            })
             .await;
-        self.note(outcome)
+        self.record(outcome)
     }
 
-    /// Books an order under an idempotency key, and compares the verdict with the ledger.
+    /// Books the order `id` with `id` as the idempotency key, and compares the outcome with the
+    /// ledger.
     pub async fn book(&self, service: &str, id: &str, ledger: &PlainLedger) -> CallOutcome {
         let body = serde_json::json!({ "id": id });
         let path = format!("/services/{service}/orders");
         let request = CallerRequest { path: &path, body: &body, key: Some(id) };
         let outcome = self
-            .until_taken(&request, |bytes| {
+            .send_with_retries(&request, |bytes| {
                 let reply: Result<serde_json::Value, _> = serde_json::from_slice(bytes);
                 reply.is_ok_and(|reply| reply["id"] == id && reply["run"] == 1)
             })
@@ -174,91 +181,93 @@
         if false_verdict {
             self.counts.false_verdicts.fetch_add(1, Ordering::Relaxed);
         }
-        self.note(outcome)
+        self.record(outcome)
     }
 
-    fn note(&self, outcome: CallOutcome) -> CallOutcome {
+    fn record(&self, outcome: CallOutcome) -> CallOutcome {
         self.counts.count(outcome);
         outcome
     }
 
-    /// Sends to one address after the other for as long as the answer is `not-run`.
-    async fn until_taken(
+    /// Sends to one address after the other until an outcome is final or `MAX_ATTEMPTS` is
+    /// reached.
+    async fn send_with_retries(
         &self,
         request: &CallerRequest<'_>,
-        is_right: impl Fn(&[u8]) -> bool,
+        is_correct: impl Fn(&[u8]) -> bool,
     ) -> CallOutcome {
         self.counts.sent.fetch_add(1, Ordering::Relaxed);
-        let mut last = CallOutcome::NotRun;
-        for attempt in 0..MAX_TRIES {
+        let mut outcome = CallOutcome::NotRun;
+        for attempt in 0..MAX_ATTEMPTS {
             let addresses = self.addresses().await;
-            let at = self.turn.get();
-            self.turn.set(at + 1);
-            let Some(address) = addresses.get(at % addresses.len().max(1)) else { break };
+            let turn = self.turn.get();
+            self.turn.set(turn + 1);
+            let Some(address) = addresses.get(turn % addresses.len().max(1)) else { break };
             if attempt > 0 {
                 self.counts.retried.fetch_add(1, Ordering::Relaxed);
             }
-            last = self.send(address, request, &is_right).await;
-            // A key makes every resend safe, so an unknown outcome is asked about again.
-            let again = last == CallOutcome::NotRun
+            outcome = self.send(address, request, &is_correct).await;
+            // The idempotency key makes a retry safe, also when the outcome is unknown.
+            let may_retry = outcome == CallOutcome::NotRun
                 || (request.key.is_some()
-                    && matches!(last, CallOutcome::Lost | CallOutcome::CutOff));
-            if !again {
-                return last;
+                    && matches!(outcome, CallOutcome::Lost | CallOutcome::CutOff));
+            if !may_retry {
+                return outcome;
             }
-            tokio::time::sleep(TRY_PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
-        last
+        outcome
     }
 
     async fn send(
         &self,
         address: &str,
         request: &CallerRequest<'_>,
-        is_right: &impl Fn(&[u8]) -> bool,
+        is_correct: &impl Fn(&[u8]) -> bool,
     ) -> CallOutcome {
         let url = format!("http://{address}{}", request.path);
-        let mut call = self.client.post(url).bearer_auth(&self.key).timeout(self.call_limit);
+        let mut call = self.client.post(url).bearer_auth(&self.key).timeout(self.attempt_timeout);
         if let Some(key) = request.key {
             call = call.insert_header((IDEMPOTENCY_HEADER, key));
         }
-        let mut answer = match call.send_json(request.body).await {
-            Ok(answer) => answer,
+        let mut response = match call.send_json(request.body).await {
+            Ok(response) => response,
             Err(error) => {
-                // A connection that was refused, or closed unused by a stopping entry, did nothing.
+                // A connection that was refused, or that a stopping entry closed while it was idle,
+                // did not execute the request.
                 let report = egretseam_http::send_failure(&error);
-                self.forget(address);
+                self.remove_address(address);
                 return match report.verdict {
                     RequestVerdict::NotRun => CallOutcome::NotRun,
                     _ => CallOutcome::Lost,
                 };
             }
         };
-        if let Some(report) = reported_failure(answer.headers()) {
+        if let Some(report) = reported_failure(response.headers()) {
             if report.reason == RefusalReason::Stopping {
-                self.forget(address);
+                self.remove_address(address);
             }
             return match report.verdict {
                 RequestVerdict::NotRun => CallOutcome::NotRun,
                 RequestVerdict::MayHaveRun | RequestVerdict::Ran => CallOutcome::MayHaveRun,
             };
         }
-        let status = answer.status();
+        let status = response.status();
         let mut body = Vec::new();
         let read = async {
-            while let Some(piece) = answer.next().await {
-                body.extend_from_slice(&piece.map_err(|_| ())?);
+            while let Some(bytes) = response.next().await {
+                body.extend_from_slice(&bytes.map_err(|_| ())?);
             }
             Ok::<(), ()>(())
         };
-        if !matches!(tokio::time::timeout(self.call_limit, read).await, Ok(Ok(()))) {
+        if !matches!(tokio::time::timeout(self.attempt_timeout, read).await, Ok(Ok(()))) {
             return CallOutcome::CutOff;
         }
-        let good = matches!(status, StatusCode::OK | StatusCode::CREATED) && is_right(&body);
-        if good { CallOutcome::Answered } else { CallOutcome::Wrong }
+        let correct = matches!(status, StatusCode::OK | StatusCode::CREATED) && is_correct(&body);
+        if correct { CallOutcome::Answered } else { CallOutcome::Wrong }
     }
 
-    fn forget(&self, address: &str) {
+    fn remove_address(&self, address: &str) {
         self.addresses.borrow_mut().retain(|known| known != address);
         if self.addresses.borrow().is_empty() {
             self.expires_at.set(None);
@@ -268,19 +277,19 @@
     async fn addresses(&self) -> Vec<String> {
         let fresh = self.expires_at.get().is_some_and(|at| Instant::now() < at);
         if !fresh {
-            self.learn_addresses().await;
+            self.fetch_addresses().await;
         }
         let known = self.addresses.borrow().clone();
         if known.is_empty() { self.seeds.clone() } else { known }
     }
 
-    async fn learn_addresses(&self) {
+    async fn fetch_addresses(&self) {
         let known = self.addresses.borrow().clone();
         for address in known.iter().chain(&self.seeds) {
             let url = format!("http://{address}/v1/addresses");
-            let call = self.client.get(url).bearer_auth(&self.key).timeout(self.call_limit);
-            let Ok(mut answer) = call.send().await else { continue };
-            if let Ok(list) = answer.json::<AddressList>().await {
+            let call = self.client.get(url).bearer_auth(&self.key).timeout(self.attempt_timeout);
+            let Ok(mut response) = call.send().await else { continue };
+            if let Ok(list) = response.json::<AddressList>().await {
                 let lifetime = Duration::from_secs(list.lifetime_seconds);
                 self.expires_at.set(Some(Instant::now() + lifetime));
                 let items = list.addresses.into_iter().map(|item| item.address);
@@ -291,14 +300,14 @@
     }
 }
 
-/// The text of an answer; `None` if it is not a whole one.
-fn text_of(bytes: &[u8], stream: bool) -> Option<String> {
+/// Returns the text of a completion, or `None` if the response is malformed or incomplete.
+fn completion_text(bytes: &[u8], stream: bool) -> Option<String> {
     let text = std::str::from_utf8(bytes).ok()?;
     if !stream {
         let reply: serde_json::Value = serde_json::from_str(text).ok()?;
         return reply["choices"][0]["text"].as_str().map(str::to_owned);
     }
-    let mut whole = String::new();
+    let mut full_text = String::new();
     let mut done = false;
     for event in text.split("\n\n").filter(|event| !event.is_empty()) {
         let data = event.strip_prefix("data: ")?;
@@ -307,33 +316,33 @@
             continue;
         }
         let reply: serde_json::Value = serde_json::from_str(data).ok()?;
-        whole.push_str(reply["choices"][0]["text"].as_str()?);
+        full_text.push_str(reply["choices"][0]["text"].as_str()?);
     }
-    done.then_some(whole)
+    done.then_some(full_text)
 }
 
-/// A steady load of several callers.
+/// Settings of a load generator: callers that each send one request at a time.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// Addresses to begin with.
+    /// Entry addresses from which callers fetch the address list.
     pub seeds: Vec<String>,
     /// API key.
     pub key: String,
-    /// Callers at a time.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// Pause of each caller between requests.
+    /// Pause of each caller after a request.
     pub pause: Duration,
     /// Model service.
     pub model_service: String,
-    /// Plain service; none books nothing.
+    /// Plain service that receives every fourth request of a caller, a booking; `None` sends none.
     pub plain_service: Option<String>,
-    /// Tokens of each answer.
+    /// Tokens per completion.
     pub tokens: u64,
     /// Digests of the published versions.
     pub versions: Vec<ChunkDigest>,
 }
 
-/// Callers on a thread of their own, until stopped.
+/// Concurrent callers on one thread, which send requests until stopped.
 pub struct LoadGenerator {
     stop: Arc<AtomicBool>,
     counts: Arc<CallerCounts>,
@@ -341,7 +350,7 @@
 }
 
 impl LoadGenerator {
-    /// Starts the load.
+    /// Starts the callers; outcomes of bookings are compared with `ledger`.
     pub fn spawn(options: LoadOptions, ledger: PlainLedger) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let counts = Arc::new(CallerCounts::default());
@@ -358,18 +367,18 @@
         Self { stop, counts, thread: Some(thread) }
     }
 
-    /// What became of the requests so far.
+    /// Counts of requests so far.
     pub fn counts(&self) -> &CallerCounts {
         &self.counts
     }
 
-    /// Lets every request in progress end, then returns the counts.
+    /// Waits until the requests in progress have ended, then returns the counts.
     pub fn stop(mut self) -> Arc<CallerCounts> {
-        self.end();
+        self.stop_and_join();
         self.counts.clone()
     }
 
-    fn end(&mut self) {
+    fn stop_and_join(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             thread.join().ok();
@@ -379,7 +388,7 @@
 
 impl Drop for LoadGenerator {
     fn drop(&mut self) {
-        self.end();
+        self.stop_and_join();
     }
 }
 
@@ -398,11 +407,11 @@
             (Some(service), 0) => {
                 caller.book(service, &format!("order-{number}-{round}"), &ledger).await;
             }
-            (_, kind) => {
+            (_, turn) => {
                 let prompt = format!("caller {number} asks question {round}");
                 let service = &options.model_service;
                 let versions = &options.versions;
-                caller.complete(service, &prompt, options.tokens, kind != 1, versions).await;
+                caller.complete(service, &prompt, options.tokens, turn != 1, versions).await;
             }
         }
         tokio::time::sleep(options.pause).await;
--- a/crates/local/src/cluster.rs
+++ b/crates/local/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Starting daemons and fakes on loopback, each with its own thread and port.
+//! A cluster of daemons and fakes on loopback, each with its own thread and ports.
 
 mod faults;
 mod parts;
@@ -27,47 +27,47 @@
     time::{Duration, Instant},
 };
 
-/// Token of the cluster's processes; loopback only.
+/// Peer token of the cluster's daemons; loopback only.
 const PEER_TOKEN: &str = "local-peer-token-0123456789";
-/// Token of the cluster's operator; loopback only.
+/// Operator token of the cluster's daemons; loopback only.
 const OPERATOR_TOKEN: &str = "local-operator-token-0123456789";
-/// How long a step of the set-up may take.
-const STEP_LIMIT: Duration = Duration::from_secs(20);
-/// How often a condition is looked at.
-const POLL: Duration = Duration::from_millis(20);
+/// Timeout of one step of the set-up, and of binding a restarted process's port.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which a condition is polled, and a restart retried.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Sizes and rates of a cluster.
+/// Sizes, rates and modes of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterOptions {
-    /// Control members.
+    /// Number of control members.
     pub control: usize,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Availability zones, over which everything is spread in turn.
+    /// Number of availability zones, over which the daemons of each kind are spread round-robin.
     pub zones: usize,
-    /// Agents with a model engine.
+    /// Number of agents with a model engine.
     pub model_agents: usize,
-    /// Agents with a plain service.
+    /// Number of agents with a plain service.
     pub plain_agents: usize,
-    /// The engines' behaviour.
+    /// Options of the fake engines.
     pub engine: EngineOptions,
-    /// The origin's behaviour.
+    /// Rate limits of the fake origin.
     pub origin: OriginOptions,
-    /// A weight store's behaviour, if there is to be one.
+    /// Rate limits of the fake weight store; `None` starts no store.
     pub store: Option<OriginOptions>,
-    /// Each agent's link.
+    /// Rate of each agent's link in bytes per second; `None` leaves the agents' default.
     pub link_bytes_per_second: Option<u64>,
-    /// Entries' lease in milliseconds.
+    /// Lease of the entries in milliseconds.
     pub lease_millis: u64,
-    /// Lifetime of the list of addresses in seconds.
+    /// Seconds for which callers may cache the address list.
     pub address_lifetime_seconds: u64,
-    /// Time that a plain call takes.
+    /// Time that a plain service takes for one booking.
     pub booking_delay: Duration,
-    /// How weights reach instances: `swarm`, or a baseline.
+    /// Value of the agents' setting `distribution`: `swarm`, or a baseline.
     pub distribution: &'static str,
-    /// How entries choose targets: `balanced`, or a baseline.
+    /// Value of the entries' setting `routing`: `balanced`, or a baseline.
     pub routing: &'static str,
-    /// Whether peers reach each agent's chunks through a relay that can misbehave.
+    /// Whether peers reach each agent's chunk listener through a fault-injecting relay.
     pub chunk_relays: bool,
 }
 
@@ -93,14 +93,14 @@
     }
 }
 
-/// A version at the origin, with what is needed to check answers.
+/// A version published at the origin, with the digest that checks completions.
 #[derive(Clone, Debug)]
 pub struct PublishedModel {
-    /// Its manifest's identity.
+    /// Id of the manifest.
     pub manifest: ManifestId,
-    /// Digest of all its bytes.
+    /// Digest of the whole content.
     pub digest: ChunkDigest,
-    /// What a profile says to have it loaded.
+    /// Weights of a profile that serves this version.
     pub spec: WeightsSpec,
     /// Size in bytes.
     pub bytes: u64,
@@ -108,19 +108,20 @@
 
 /// One agent with its target.
 pub struct LocalAgent {
-    /// Its name.
+    /// Instance name.
     pub name: String,
-    /// Its zone.
+    /// Availability zone.
     pub zone: String,
-    /// The engine's misbehaviour.
+    /// Faults injected into the engine.
     pub faults: Arc<EngineFaults>,
-    /// What the engine did.
+    /// Counters of the engine.
     pub counters: Arc<EngineCounters>,
-    /// Misbehaviour of the link to its chunks, if that goes through a relay.
+    /// Faults injected into the link to the chunk listener; without effect if
+    /// [`ClusterOptions::chunk_relays`] is false.
     pub chunk_link_faults: Arc<RelayFaults>,
     /// `host:port` of the engine or service.
     pub target_address: String,
-    /// `host:port` of the agent's operators' listener.
+    /// `host:port` of the agent's operator listener.
     pub operator_address: String,
     settings: serde_json::Value,
     daemon: Option<DaemonThread>,
@@ -136,30 +137,30 @@
     daemon: Option<DaemonThread>,
 }
 
-/// A running cluster. Dropping it ends everything and removes its folder.
+/// A running cluster. Dropping it stops all daemons and fakes and removes the cluster's folder.
 pub struct LocalCluster {
     options: ClusterOptions,
     folder: tempfile::TempDir,
     tokens: DaemonTokens,
-    /// The origin, for publishing and for its counters.
+    /// The fake origin.
     pub origin: FakeOrigin,
-    /// The store, if there is one.
+    /// The fake weight store, if one was started.
     pub store: Option<FakeOrigin>,
-    /// What the plain services booked.
+    /// Bookings made by the plain services.
     pub ledger: PlainLedger,
     control: Vec<LocalDaemon>,
     entries: Vec<LocalDaemon>,
     agents: BTreeMap<String, LocalAgent>,
     origin_address: String,
     store_address: Option<String>,
-    _platform: Vec<SystemThread>,
+    _upstream_threads: Vec<SystemThread>,
 }
 
 impl LocalCluster {
-    /// Token of the cluster's processes; loopback only.
+    /// Peer token of the cluster's daemons; loopback only.
     pub const PEER_TOKEN: &'static str = PEER_TOKEN;
 
-    /// `host:port` of the control members' peer listeners.
+    /// `host:port` of each control member's peer listener, also of members that are not running.
     pub fn control_peer_addresses(&self) -> Vec<String> {
         let address = |member: &LocalDaemon| {
             member.settings["control"]["peer_address"].as_str().unwrap_or_default().to_owned()
@@ -167,26 +168,26 @@
         self.control.iter().map(address).collect()
     }
 
-    /// Starts control members, entries, fakes and agents, and waits until entries have a
-    /// confirmed configuration.
+    /// Starts fakes, control members, entries and agents. Waits until the configuration lists all
+    /// entries, but not for the agents to report.
     ///
     /// # Errors
-    /// Says which step failed.
+    /// Returns the error of the first step that failed.
     pub fn start(options: ClusterOptions) -> anyhow::Result<Self> {
-        let folder = tempfile::tempdir().context("make a folder")?;
+        let folder = tempfile::tempdir().context("create the cluster's temporary folder")?;
         let tokens = DaemonTokens {
             peer: SecretToken::from_text(PEER_TOKEN),
             operator: SecretToken::from_text(OPERATOR_TOKEN),
         };
         let origin = FakeOrigin::default();
         let (thread, origin_address) = start_origin("origin", &origin, options.origin)?;
-        let mut platform = vec![thread];
+        let mut upstream_threads = vec![thread];
         let mut store = None;
         let mut store_address = None;
         if let Some(store_options) = options.store {
             let fake = FakeOrigin::default();
             let (thread, address) = start_origin("store", &fake, store_options)?;
-            platform.push(thread);
+            upstream_threads.push(thread);
             store = Some(fake);
             store_address = Some(address);
         }
@@ -201,14 +202,14 @@
             agents: BTreeMap::new(),
             origin_address,
             store_address,
-            _platform: platform,
+            _upstream_threads: upstream_threads,
             options,
         };
         cluster.start_control()?;
         for number in 0..cluster.options.entries {
             cluster.start_entry(number)?;
         }
-        cluster.wait_ready()?;
+        cluster.wait_for_entries()?;
         for number in 0..cluster.options.model_agents {
             cluster.start_agent(&format!("runner-{number}"), number, true)?;
         }
@@ -223,28 +224,28 @@
         &self.options
     }
 
-    /// Folder that everything lives under.
+    /// Folder that holds the data of all daemons.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Callers' addresses of the running entries.
+    /// Caller addresses (`host:port`) of the running entries.
     pub fn caller_addresses(&self) -> Vec<String> {
         let running = self.entries.iter().filter(|entry| entry.daemon.is_some());
         running.filter_map(|entry| entry.caller_address.clone()).collect()
     }
 
-    /// Operators' address of entry `number`.
+    /// Operator address (`host:port`) of entry `number`.
     pub fn entry_operator_address(&self, number: usize) -> &str {
         &self.entries[number].operator_address
     }
 
-    /// Operators' address of control member `number`.
+    /// Operator address (`host:port`) of control member `number`.
     pub fn control_operator_address(&self, number: usize) -> &str {
         &self.control[number].operator_address
     }
 
-    /// Operators' addresses of all running daemons.
+    /// Operator addresses (`host:port`) of all running daemons.
     pub fn operator_addresses(&self) -> Vec<String> {
         let daemons = self.control.iter().chain(&self.entries);
         let running = daemons.filter(|daemon| daemon.daemon.is_some());
@@ -255,25 +256,26 @@
             .collect()
     }
 
-    /// The operators' token.
+    /// The operator token.
     pub fn operator_token(&self) -> SecretToken {
         self.tokens.operator.clone()
     }
 
-    /// An agent by name.
+    /// Returns an agent by its instance name.
     pub fn agent(&self, name: &str) -> Option<&LocalAgent> {
         self.agents.get(name)
     }
 
-    /// All agents.
+    /// All agents, also those that are not running.
     pub fn agents(&self) -> impl Iterator<Item = &LocalAgent> {
         self.agents.values()
     }
 
-    /// Publishes a version of pseudo-random bytes at the origin, and at the store if there is one.
+    /// Publishes a version of `bytes` pseudo-random bytes at the origin, and at the store if there
+    /// is one.
     ///
     /// # Errors
-    /// Fails on names or sizes out of range.
+    /// Fails on invalid names or sizes.
     pub fn publish(
         &self,
         model: &str,
@@ -296,38 +298,38 @@
         Ok(PublishedModel { manifest: id, digest, spec, bytes: bytes as u64 })
     }
 
-    /// Makes a change through entry 0's operators' listener.
+    /// Commits a configuration change through entry 0's operator listener.
     ///
     /// # Errors
-    /// Says why it was not accepted.
+    /// Says why the change was rejected.
     pub fn edit(&self, base: Revision, edit: ConfigEdit) -> anyhow::Result<Revision> {
-        let client_of = self.operator_parts(0);
+        let operator = self.operator_access(0);
         block_on(async move {
-            let client = OperatorClient::new(&client_of.0, client_of.1, "local");
+            let client = OperatorClient::new(&operator.0, operator.1, "local");
             Ok(client.edit(base, edit).await?)
         })
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration, read through entry 0.
     ///
     /// # Errors
-    /// Fails if no member confirms it.
+    /// Fails if no control member confirms that it is current.
     pub fn config(&self) -> anyhow::Result<ConfigView> {
-        let client_of = self.operator_parts(0);
+        let operator = self.operator_access(0);
         block_on(async move {
-            let client = OperatorClient::new(&client_of.0, client_of.1, "local");
+            let client = OperatorClient::new(&operator.0, operator.1, "local");
             Ok(client.config().await?)
         })
     }
 
-    /// Targets as entry `number` sees them.
+    /// Returns the targets known to entry `number`.
     ///
     /// # Errors
-    /// Fails if the entry does not answer.
+    /// Fails if the entry does not respond.
     pub fn targets(&self, number: usize) -> anyhow::Result<Vec<TargetItem>> {
-        let client_of = self.operator_parts(number);
+        let operator = self.operator_access(number);
         block_on(async move {
-            let client = OperatorClient::new(&client_of.0, client_of.1, "local");
+            let client = OperatorClient::new(&operator.0, operator.1, "local");
             Ok(client.targets().await?)
         })
     }
@@ -335,7 +337,7 @@
     /// Defines a profile for a group.
     ///
     /// # Errors
-    /// Says why it was not accepted.
+    /// Says why the change was rejected.
     pub fn define_profile(&self, name: &str, spec: ProfileSpec) -> anyhow::Result<Revision> {
         let name = ProfileName::try_from(name)?;
         self.edit(Revision(0), ConfigEdit::DefineProfile { name, spec })
@@ -344,7 +346,7 @@
     /// Binds a service to a profile.
     ///
     /// # Errors
-    /// Says why it was not accepted.
+    /// Says why the change was rejected.
     pub fn bind_service(&self, service: &str, profile: &str) -> anyhow::Result<Revision> {
         let name = ServiceName::try_from(service)?;
         let profile = ProfileName::try_from(profile)?;
@@ -354,7 +356,7 @@
     /// Adds an organisation with one API key.
     ///
     /// # Errors
-    /// Says why it was not accepted.
+    /// Says why the change was rejected.
     pub fn add_organisation(&self, name: &str, key: &str, weight: u32) -> anyhow::Result<Revision> {
         let name = OrganisationName::try_from(name)?;
         let key_digests = vec![ChunkDigest::of(key.as_bytes())];
@@ -362,60 +364,61 @@
         self.edit(Revision(0), ConfigEdit::SetOrganisation { name, spec })
     }
 
-    /// Waits until `count` targets of a group serve exactly `manifest`, as entry 0 sees it; returns
-    /// how long that took.
+    /// Waits until entry 0 lists at least `count` targets of a group as serving `manifest`, and
+    /// returns how long that took. `None` stands for targets without weights.
     ///
     /// # Errors
-    /// Fails if `limit` passes first.
+    /// Fails if this takes longer than `timeout`.
     pub fn wait_for_replicas(
         &self,
         group: &str,
         manifest: Option<ManifestId>,
         count: usize,
-        limit: Duration,
+        timeout: Duration,
     ) -> anyhow::Result<Duration> {
         let group = GroupName::try_from(group)?;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let serves = |item: &TargetItem| {
-            let held = item.report.serving.as_ref().map(|serving| serving.manifest);
+            let manifest_served = item.report.serving.as_ref().map(|serving| serving.manifest);
             item.report.group == group
                 && item.report.state == TargetState::Serving
-                && held == manifest
+                && manifest_served == manifest
         };
-        self.wait_until("replicas to serve", limit, || {
+        self.wait_until("replicas to serve", timeout, || {
             Ok(self.targets(0)?.iter().filter(|item| serves(item)).count() >= count)
         })?;
-        Ok(begun.elapsed())
+        Ok(started_at.elapsed())
     }
 
-    /// Waits until `condition` holds.
+    /// Polls `condition` until it returns true.
     ///
     /// # Errors
-    /// Fails if `limit` passes first; errors of `condition` count as "not yet".
+    /// Fails if this takes longer than `timeout`, with the last error of `condition`. Such errors
+    /// do not end the wait.
     pub fn wait_until(
         &self,
         what: &str,
-        limit: Duration,
+        timeout: Duration,
         condition: impl Fn() -> anyhow::Result<bool>,
     ) -> anyhow::Result<()> {
-        let begun = Instant::now();
-        let mut last = None;
-        while begun.elapsed() < limit {
+        let started_at = Instant::now();
+        let mut last_error = None;
+        while started_at.elapsed() < timeout {
             match condition() {
                 Ok(true) => return Ok(()),
                 Ok(false) => {}
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        let detail = last.map(|error| format!(": {error:#}")).unwrap_or_default();
-        anyhow::bail!("waited {limit:?} in vain for {what}{detail}")
+        let detail = last_error.map(|error| format!(": {error:#}")).unwrap_or_default();
+        anyhow::bail!("timed out after {timeout:?} waiting for {what}{detail}")
     }
 
-    /// Number of the control member that leads, by its own account.
+    /// Returns the number of the control group's leader, as reported by the first running member.
     pub fn leader(&self) -> Option<usize> {
-        let parts = self.control.iter().position(|member| member.daemon.is_some())?;
-        let address = self.control[parts].operator_address.clone();
+        let first_running = self.control.iter().position(|member| member.daemon.is_some())?;
+        let address = self.control[first_running].operator_address.clone();
         let token = self.tokens.operator.clone();
         let members =
             block_on(
@@ -425,7 +428,7 @@
         self.control.iter().position(|member| member.name == leader)
     }
 
-    fn operator_parts(&self, number: usize) -> (String, SecretToken) {
+    fn operator_access(&self, number: usize) -> (String, SecretToken) {
         (self.entries[number].operator_address.clone(), self.tokens.operator.clone())
     }
 
--- a/crates/local/src/cluster/parts.rs
+++ b/crates/local/src/cluster/parts.rs
@@ -1,6 +1,6 @@
-//! Ports, daemons and fakes, one at a time.
+//! Binding ports, and starting single daemons and fakes.
 
-use super::{POLL, STEP_LIMIT};
+use super::{POLL_INTERVAL, STEP_TIMEOUT};
 use crate::system_thread::SystemThread;
 use egretseam_config::DaemonSettings;
 use egretseam_daemon::{DaemonListeners, DaemonThread, DaemonTokens};
@@ -41,22 +41,23 @@
     DaemonThread::spawn(settings, tokens.clone(), listeners)
 }
 
-/// Starts a daemon on addresses that another run of it used. Its ports may take a moment to be free.
+/// Starts a daemon on the addresses of its previous incarnation. Retries until `STEP_TIMEOUT`,
+/// because the ports may not be free at once.
 pub(super) fn respawn_daemon(
     settings: &serde_json::Value,
     tokens: &DaemonTokens,
 ) -> anyhow::Result<DaemonThread> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         match spawn_daemon(settings, tokens, &mut Vec::new()) {
-            Err(error) if begun.elapsed() > STEP_LIMIT => return Err(error),
-            Err(_) => std::thread::sleep(POLL),
+            Err(error) if started_at.elapsed() > STEP_TIMEOUT => return Err(error),
+            Err(_) => std::thread::sleep(POLL_INTERVAL),
             started => return started,
         }
     }
 }
 
-/// Listeners on ports that the system chose, and their addresses.
+/// Listeners on loopback ports that the operating system chose, and their addresses.
 pub(super) struct BoundPorts {
     pub(super) listeners: Vec<TcpListener>,
     pub(super) addresses: Vec<String>,
@@ -72,7 +73,7 @@
     }
 }
 
-/// Runs one call of an operator's client on a runtime of its own.
+/// Runs one operator client request to completion on a new runtime.
 pub(super) fn block_on<T>(future: impl Future<Output = anyhow::Result<T>>) -> anyhow::Result<T> {
     actix_rt::System::new().block_on(future)
 }
--- a/crates/local/src/cluster/setup.rs
+++ b/crates/local/src/cluster/setup.rs
@@ -1,7 +1,7 @@
-//! Starting the parts of a cluster in order.
+//! Starting control members, entries, agents and targets.
 
 use super::{
-    LocalAgent, LocalCluster, LocalDaemon, STEP_LIMIT,
+    LocalAgent, LocalCluster, LocalDaemon, STEP_TIMEOUT,
     parts::{BoundPorts, block_on, spawn_daemon, start_relay},
 };
 use crate::system_thread::SystemThread;
@@ -55,14 +55,15 @@
         Ok(())
     }
 
-    /// Makes one step of membership, again and again until it is taken.
+    /// Requests one membership change of the control group through control member 0, and retries
+    /// until it is accepted.
     ///
     /// # Errors
-    /// Fails if it is not taken in time.
+    /// Fails if it is not accepted in time.
     pub fn change_members(&self, change: MembershipChange) -> anyhow::Result<()> {
         let (address, token) =
             (self.control[0].operator_address.clone(), self.tokens.operator.clone());
-        self.wait_until("a step of membership", STEP_LIMIT, || {
+        self.wait_until("the membership change", STEP_TIMEOUT, || {
             let (address, token, change) = (address.clone(), token.clone(), change.clone());
             block_on(async move {
                 let client = OperatorClient::new(&address, token, "local");
@@ -99,9 +100,9 @@
         Ok(())
     }
 
-    pub(super) fn wait_ready(&self) -> anyhow::Result<()> {
+    pub(super) fn wait_for_entries(&self) -> anyhow::Result<()> {
         let expected = self.options.entries;
-        self.wait_until("entries to be announced", STEP_LIMIT, || {
+        self.wait_until("the configuration to list all entries", STEP_TIMEOUT, || {
             Ok(self.config()?.entries.len() == expected)
         })
     }
@@ -169,7 +170,7 @@
         Ok(())
     }
 
-    /// Folder of an agent's weights.
+    /// Weights folder of an agent.
     pub fn weights_folder(&self, name: &str) -> PathBuf {
         self.folder.path().join("weights").join(name)
     }
--- a/crates/local/src/drill.rs
+++ b/crates/local/src/drill.rs
@@ -1,4 +1,4 @@
-//! What `egretseam local` does: a burst, a change of version under load, a graceful stop.
+//! The drill of `egretseam local`: a burst, a change of version under load, and a graceful stop.
 
 use crate::{
     bound::BurstBound,
@@ -15,23 +15,24 @@
     time::{Duration, Instant},
 };
 
-/// The organisation's API key in a drill; loopback only.
+/// API key of the drill's organisation; valid on loopback only.
 const DRILL_KEY: &str = "local-organisation-key-0123456789";
-/// How long a step of the drill may take.
-const STEP_LIMIT: Duration = Duration::from_secs(25);
-/// Size of a chunk in a drill.
+/// Timeout for all replicas of a group to serve the requested version.
+const REPLICAS_TIMEOUT: Duration = Duration::from_secs(25);
+/// Chunk size of the published versions.
 const CHUNK_BYTES: u32 = 128 * 1024;
 
-/// Sizes of a drill.
+/// Options of a drill.
 #[derive(Clone, Debug)]
 pub struct DrillOptions {
     /// Instances that serve the model.
     pub replicas: usize,
     /// Size of the model in MiB.
     pub size_mib: usize,
-    /// Seconds in which the origin's link carries four copies and each instance's two.
+    /// Sets the link rates: in this many seconds the origin's link carries four copies of the model
+    /// and each instance's link two.
     pub window_seconds: f64,
-    /// Callers at a time.
+    /// Number of concurrent callers.
     pub callers: usize,
 }
 
@@ -41,52 +42,53 @@
     }
 }
 
-/// What a drill measured.
+/// Measurements of a drill.
 #[derive(Clone, Debug, Serialize)]
 pub struct DrillReport {
     /// Instances that serve the model.
     pub replicas: usize,
-    /// From the accepted profile until all of them served.
+    /// Seconds from the commit of the service binding until all replicas served.
     pub time_to_n_seconds: f64,
-    /// The least time possible with these links and one copy from the origin.
+    /// [`BurstBound::seconds`] for these link rates and one copy from the origin.
     pub lower_bound_seconds: f64,
-    /// Copies fetched from the origin for the first version.
+    /// Bytes fetched from the origin for the first version, in copies of the model.
     pub origin_copies: f64,
-    /// From the accepted change until all served the second version, under load.
+    /// Seconds from the commit of the version change until all replicas served the second version,
+    /// under load.
     pub change_seconds: f64,
-    /// Copies fetched from the origin for the second version.
+    /// Bytes fetched from the origin for the second version, in copies of the model.
     pub change_origin_copies: f64,
-    /// Requests sent.
+    /// Requests started; retries are not counted.
     pub requests: u64,
-    /// Answered whole and right.
+    /// Requests with a complete and correct response.
     pub answered: u64,
-    /// Refused as not run.
+    /// Requests rejected without being executed, after all attempts.
     pub not_run: u64,
-    /// Told that they may have run.
+    /// Requests whose error response said that they may have run.
     pub may_have_run: u64,
-    /// Sends by callers to a further address.
+    /// Attempts by callers after the first one of a request.
     pub retried: u64,
-    /// Answers that no published version gives.
+    /// Complete responses that no published version gives.
     pub wrong: u64,
-    /// Requests without any answer.
+    /// Requests without any response that may have reached a target.
     pub lost: u64,
-    /// Requests that ran twice, or whose verdict was false.
+    /// Bookings that ran more than once, plus bookings whose outcome contradicts the ledger.
     pub doubled: u64,
-    /// Answers that broke off.
+    /// Responses whose body was incomplete.
     pub cut_off: u64,
 }
 
 impl DrillReport {
-    /// Whether nothing went wrong that must not.
+    /// Returns true if there were no wrong, lost, doubled or cut off requests.
     pub fn is_clean(&self) -> bool {
         self.wrong + self.lost + self.doubled + self.cut_off == 0
     }
 }
 
-/// Runs a drill; `progress` is told of each step.
+/// Runs a drill and calls `progress` with the description of each step before the step.
 ///
 /// # Errors
-/// Says which step failed.
+/// Returns the error of the first step that failed.
 pub fn run_drill(options: &DrillOptions, progress: &dyn Fn(&str)) -> anyhow::Result<DrillReport> {
     let bytes = options.size_mib * 1024 * 1024;
     let rate = |copies: f64| (copies * bytes as f64 / options.window_seconds) as u64;
@@ -99,28 +101,28 @@
     })?;
     let first = cluster.publish("assistant", "v1", 1, bytes, CHUNK_BYTES)?;
     let second = cluster.publish("assistant", "v2", 2, bytes, CHUNK_BYTES)?;
-    set_up(&cluster)?;
+    add_organisation_and_orders(&cluster)?;
     progress("bringing version v1 to all instances");
-    let revision = cluster.define_profile("assistant", profile(&first)?)?;
+    let revision = cluster.define_profile("assistant", model_profile(&first)?)?;
     cluster.bind_service("assistant", "assistant")?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let group = "runners";
-    cluster.wait_for_replicas(group, Some(first.manifest), options.replicas, STEP_LIMIT)?;
-    let time_to_n = begun.elapsed();
+    cluster.wait_for_replicas(group, Some(first.manifest), options.replicas, REPLICAS_TIMEOUT)?;
+    let time_to_n = started_at.elapsed();
     let origin_copies = copies_fetched(&cluster, 0, bytes);
     progress("callers begin; changing to version v2 under load");
     let load = LoadGenerator::spawn(
         load_options(&cluster, options, &first, &second),
         cluster.ledger.clone(),
     );
-    let fetched = cluster.origin.counters.bytes.load(Ordering::Relaxed);
+    let bytes_before = cluster.origin.counters.bytes.load(Ordering::Relaxed);
     let name = ProfileName::try_from("assistant")?;
-    let edit = ConfigEdit::ChangeProfile { name, spec: profile(&second)? };
+    let edit = ConfigEdit::ChangeProfile { name, spec: model_profile(&second)? };
     cluster.edit(revision, edit)?;
-    let begun = Instant::now();
-    cluster.wait_for_replicas(group, Some(second.manifest), options.replicas, STEP_LIMIT)?;
-    let change = begun.elapsed();
-    let change_copies = copies_fetched(&cluster, fetched, bytes);
+    let started_at = Instant::now();
+    cluster.wait_for_replicas(group, Some(second.manifest), options.replicas, REPLICAS_TIMEOUT)?;
+    let change_duration = started_at.elapsed();
+    let change_origin_copies = copies_fetched(&cluster, bytes_before, bytes);
     progress("stopping one target gracefully under load");
     cluster.stop_agent("runner-0");
     let counts = load.stop();
@@ -136,8 +138,8 @@
         time_to_n_seconds: time_to_n.as_secs_f64(),
         lower_bound_seconds: bound.seconds(),
         origin_copies,
-        change_seconds: change.as_secs_f64(),
-        change_origin_copies: change_copies,
+        change_seconds: change_duration.as_secs_f64(),
+        change_origin_copies,
         requests: get(&counts.sent),
         answered: get(&counts.answered),
         not_run: get(&counts.not_run),
@@ -150,8 +152,8 @@
     })
 }
 
-fn set_up(cluster: &LocalCluster) -> anyhow::Result<()> {
-    cluster.add_organisation("wrzos-sat", DRILL_KEY, 1).context("add the organisation")?;
+fn add_organisation_and_orders(cluster: &LocalCluster) -> anyhow::Result<()> {
+    cluster.add_organisation("wrzos-sat", DRILL_KEY, 1).context("add the drill's organisation")?;
     let spec = ProfileSpec {
         group: GroupName::try_from("plain")?,
         weights: None,
@@ -163,11 +165,11 @@
     };
     cluster.define_profile("orders", spec)?;
     cluster.bind_service("orders", "orders")?;
-    cluster.wait_for_replicas("plain", None, cluster.options().plain_agents, STEP_LIMIT)?;
+    cluster.wait_for_replicas("plain", None, cluster.options().plain_agents, REPLICAS_TIMEOUT)?;
     Ok(())
 }
 
-fn profile(model: &PublishedModel) -> anyhow::Result<ProfileSpec> {
+fn model_profile(model: &PublishedModel) -> anyhow::Result<ProfileSpec> {
     Ok(ProfileSpec {
         group: GroupName::try_from("runners")?,
         weights: Some(model.spec.clone()),
@@ -179,9 +181,9 @@
     })
 }
 
-fn copies_fetched(cluster: &LocalCluster, before: u64, bytes: usize) -> f64 {
-    let fetched = cluster.origin.counters.bytes.load(Ordering::Relaxed) - before;
-    fetched as f64 / bytes as f64
+fn copies_fetched(cluster: &LocalCluster, bytes_before: u64, copy_bytes: usize) -> f64 {
+    let fetched = cluster.origin.counters.bytes.load(Ordering::Relaxed) - bytes_before;
+    fetched as f64 / copy_bytes as f64
 }
 
 fn load_options(
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -1,5 +1,6 @@
-//! The whole system in one process over loopback: the real daemons on threads of their own, with
-//! the project's fakes around them. Used by `egretseam local`, by tests and by measurements.
+//! A whole cluster in one process over loopback: the real daemons, each on its own thread, with the
+//! project's fakes of the origin, the engines and the plain services. Used by `egretseam local`,
+//! tests and benchmarks.
 
 mod bound;
 mod caller;
--- a/crates/local/src/system_thread.rs
+++ b/crates/local/src/system_thread.rs
@@ -1,4 +1,4 @@
-//! A thread with a runtime of its own for whatever a closure starts there.
+//! A thread with its own actix runtime, which runs a fake or another server until it is dropped.
 
 use anyhow::Context;
 use std::{
@@ -7,17 +7,18 @@
 };
 use tokio::sync::oneshot;
 
-/// A thread that keeps what its closure returned until it is dropped.
+/// A thread that owns the value its start closure returned. Dropping this handle drops the value
+/// on that thread and joins the thread.
 pub struct SystemThread {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl SystemThread {
-    /// Runs `start` on a new thread and keeps its result alive there.
+    /// Runs `start` on a new thread, keeps its result alive there, and waits until `start` returns.
     ///
     /// # Errors
-    /// Returns what `start` returned.
+    /// Returns the error of `start`, or fails if the thread cannot be spawned or panics in `start`.
     pub fn spawn<T, F>(name: &str, start: F) -> anyhow::Result<Self>
     where
         F: FnOnce() -> anyhow::Result<T> + Send + 'static,
@@ -28,10 +29,10 @@
         let body = move || {
             actix_rt::System::new().block_on(async move {
                 match start() {
-                    Ok(kept) => {
+                    Ok(value) => {
                         started.send(Ok(())).ok();
                         stopped.await.ok();
-                        drop(kept);
+                        drop(value);
                     }
                     Err(error) => {
                         started.send(Err(error)).ok();
@@ -40,7 +41,7 @@
             });
         };
         let thread = thread::Builder::new().name(name.to_owned()).spawn(body)?;
-        start_result.recv().context("the thread ended early")??;
+        start_result.recv().context("thread ended before its start closure returned")??;
         Ok(Self { stop: Some(stop), thread: Some(thread) })
     }
 }
