--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -18,8 +18,8 @@
 use awc::ClientResponse;
 use bytes::{Bytes, BytesMut};
 use egretseam_http::{
-    HttpHandler, HttpReply, check_framing, failure_reply, forwarded_headers, header_text,
-    read_body, send_failure, text_reply,
+    HttpHandler, HttpReply, check_framing, classify_send_error, failure_reply, forwarded_headers,
+    header_text, read_body, text_reply,
 };
 use egretseam_proto::{
     DEADLINE_HEADER, FailureReport, IDEMPOTENCY_HEADER, INCARNATION_HEADER, KEY_REFUSED_HEADER,
@@ -364,7 +364,7 @@
     }
     shared.budget.charge(call.body.len());
     let response = request.send_body(call.body.clone()).await;
-    let response = response.map_err(|error| send_failure(&error))?;
+    let response = response.map_err(|error| classify_send_error(&error))?;
     check_framing(&response, &call.method)?;
     let expected = header_text(&call.headers, VERSION_HEADER);
     let answered = header_text(response.headers(), VERSION_HEADER);
--- a/crates/bench/src/requests/load.rs
+++ b/crates/bench/src/requests/load.rs
@@ -3,7 +3,7 @@
 
 use awc::Client;
 use egretseam_fakes::ExpectedAnswer;
-use egretseam_http::{ClientOptions, http_client, reported_failure, send_failure};
+use egretseam_http::{ClientOptions, classify_send_error, failure_from_headers, http_client};
 use egretseam_proto::{ChunkDigest, RequestVerdict};
 use futures::StreamExt;
 use hdrhistogram::Histogram;
@@ -215,11 +215,11 @@
     let mut answer = match call.send_json(&body).await {
         Ok(answer) => answer,
         Err(error) => {
-            let not_run = send_failure(&error).verdict == RequestVerdict::NotRun;
+            let not_run = classify_send_error(&error).verdict == RequestVerdict::NotRun;
             return (if not_run { AnswerKind::NotRun } else { AnswerKind::Lost }, false);
         }
     };
-    if let Some(report) = reported_failure(answer.headers()) {
+    if let Some(report) = failure_from_headers(answer.headers()) {
         let not_run = report.verdict == RequestVerdict::NotRun;
         return (if not_run { AnswerKind::NotRun } else { AnswerKind::MayHaveRun }, true);
     }
--- a/crates/bench/src/soak/stand_ins.rs
+++ b/crates/bench/src/soak/stand_ins.rs
@@ -43,7 +43,7 @@
     let content_type = "application/json";
     let body = body.as_bytes();
     let call =
-        CallRequest { method, target, content_type, body, limit: CALL_LIMIT, max_body: 1 << 20 };
+        CallRequest { method, target, content_type, body, timeout: CALL_LIMIT, max_body: 1 << 20 };
     let reply = exchange(address, &call).await.ok()?;
     Some((reply.status, reply.body))
 }
@@ -165,7 +165,7 @@
     }
 
     async fn connection(&mut self, kept: Option<HttpConnection>) -> Option<HttpConnection> {
-        let kept = kept.filter(HttpConnection::is_quiet);
+        let kept = kept.filter(HttpConnection::is_idle);
         if kept.is_some() && self.random.random_bool(0.9) {
             return kept;
         }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -4,7 +4,9 @@
 use actix_http::{Response, StatusCode, header::HeaderMap};
 use awc::ClientResponse;
 use bytes::Bytes;
-use egretseam_http::{HttpReply, forwarded_headers, header_text, reported_failure, send_failure};
+use egretseam_http::{
+    HttpReply, classify_send_error, failure_from_headers, forwarded_headers, header_text,
+};
 use egretseam_proto::{
     DEADLINE_HEADER, FailureReport, IDEMPOTENCY_HEADER, INCARNATION_HEADER, KEY_REFUSED_HEADER,
     ORGANISATION_HEADER, REQUEST_ID_HEADER, RESUME_HEADER, REVISION_HEADER, RefusalReason,
@@ -100,8 +102,8 @@
         request = request.insert_header((RESUME_HEADER, offset.to_string()));
     }
     let response = request.send_body(call.body.clone()).await;
-    let response = response.map_err(|error| AttemptFailure::plain(send_failure(&error)))?;
-    match reported_failure(response.headers()) {
+    let response = response.map_err(|error| AttemptFailure::plain(classify_send_error(&error)))?;
+    match failure_from_headers(response.headers()) {
         None => Ok(response),
         Some(report) => {
             let key_refused = header_text(response.headers(), KEY_REFUSED_HEADER).is_some();
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -121,7 +121,7 @@
             awaited.end();
             answered.unwrap_or(Err(AttemptFailure::Silent))
         }
-        () = caller.closed(SENT_AHEAD) => {
+        () = caller.wait_for_close(SENT_AHEAD) => {
             log_left(shared, request, place, sent_at);
             Err(AttemptFailure::CallerLeft)
         }
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -38,7 +38,7 @@
     let _connection = CountGuard::new(&shared.connections);
     // A caller that reads slowly is no lost one, so its silence is bounded by its requests' own
     // deadlines; the kernel's limit only ends connections to callers that are gone.
-    let options = ConnectionOptions { silence_limit: Duration::from_secs(6) };
+    let options = ConnectionOptions { peer_timeout: Duration::from_secs(6) };
     let mut caller = match HttpConnection::new(stream, &options) {
         Ok(caller) => caller,
         Err(error) => {
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -85,7 +85,7 @@
     let limit = terms.time_left.map_or(limit, |left| left.min(limit));
     tokio::select! {
         _ = tokio::time::timeout(limit, shared.await_routes()) => true,
-        () = caller.closed(attempt::SENT_AHEAD) => {
+        () = caller.wait_for_close(attempt::SENT_AHEAD) => {
             shared.metrics.callers_left.inc();
             tracing::info!(request_id = %terms.id, "the caller left before there was a configuration");
             false
@@ -306,7 +306,7 @@
     let reply = tokio::select! {
         biased;
         reply = place::place(shared, &call) => reply,
-        () = caller.closed(attempt::SENT_AHEAD) => return None,
+        () = caller.wait_for_close(attempt::SENT_AHEAD) => return None,
     };
     Some(match reply {
         PlaceReply::Placed(guard) => Ok(guard),
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -41,7 +41,7 @@
             // Failure guarded: a target may send a second answer, or close, while a connection is
             // idle. It would show as another request's answer, or as a request that is lost. A
             // connection with anything to read is dropped.
-            if now < idle.expires_at && idle.connection.is_quiet() {
+            if now < idle.expires_at && idle.connection.is_idle() {
                 return Some(idle.connection);
             }
         }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -76,7 +76,7 @@
     let read = answer.connection.read_body(reader, MAX_WHOLE_ANSWER);
     let body = tokio::select! {
         body = tokio::time::timeout_at(request.deadline, read) => body,
-        () = caller.closed(SENT_AHEAD) => return RelayEnd::CallerLeft,
+        () = caller.wait_for_close(SENT_AHEAD) => return RelayEnd::CallerLeft,
     };
     let body = match body {
         Ok(Ok(body)) => body,
@@ -159,7 +159,7 @@
     let next = reader.next(&mut answer.connection);
     let piece = tokio::select! {
         piece = tokio::time::timeout_at(patience, next) => piece,
-        () = caller.closed(SENT_AHEAD) => return Err(RelayEnd::CallerLeft),
+        () = caller.wait_for_close(SENT_AHEAD) => return Err(RelayEnd::CallerLeft),
     };
     match piece {
         Ok(Ok(piece)) => Ok(piece),
--- a/crates/h1/src/connection.rs
+++ b/crates/h1/src/connection.rs
@@ -50,12 +50,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionOptions {
     /// How long sent bytes may stay unacknowledged, and how long a silent peer goes unnoticed.
-    pub silence_limit: Duration,
+    pub peer_timeout: Duration,
 }
 
 impl Default for ConnectionOptions {
     fn default() -> Self {
-        Self { silence_limit: Duration::from_secs(3) }
+        Self { peer_timeout: Duration::from_secs(3) }
     }
 }
 
@@ -77,10 +77,10 @@
     pub fn new(stream: TcpStream, options: &ConnectionOptions) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
-        let interval = (options.silence_limit / 3).max(Duration::from_secs(1));
+        let interval = (options.peer_timeout / 3).max(Duration::from_secs(1));
         let probes = TcpKeepalive::new().with_time(interval).with_interval(interval);
         socket.set_tcp_keepalive(&probes.with_retries(2))?;
-        socket.set_tcp_user_timeout(Some(options.silence_limit))?;
+        socket.set_tcp_user_timeout(Some(options.peer_timeout))?;
         Ok(Self { stream, buffer: BytesMut::new(), searched: 0 })
     }
 
@@ -186,7 +186,7 @@
 
     /// Waits until the peer closes or breaks the connection, keeping whatever it sends meanwhile.
     /// A peer that sends more than `most` bytes ahead is watched no further.
-    pub async fn closed(&mut self, most: usize) {
+    pub async fn wait_for_close(&mut self, most: usize) {
         while self.buffer.len() < most {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
@@ -198,7 +198,7 @@
 
     /// Whether a kept connection is quiet: open, with nothing to read. Bytes on a connection with
     /// no request waiting belong to no request, and a connection that ended cannot carry one.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         if self.has_buffered() {
             return false;
         }
--- a/crates/h1/src/exchange.rs
+++ b/crates/h1/src/exchange.rs
@@ -22,14 +22,14 @@
     /// Body.
     pub body: &'a [u8],
     /// Time for the whole call.
-    pub limit: Duration,
+    pub timeout: Duration,
     /// Largest body accepted in the answer.
     pub max_body: usize,
 }
 
 /// The answer to a call.
 #[derive(Clone, Debug)]
-pub struct CallReply {
+pub struct CallResponse {
     /// Status code.
     pub status: u16,
     /// Header fields.
@@ -66,14 +66,14 @@
 pub async fn exchange(
     address: SocketAddr,
     call: &CallRequest<'_>,
-) -> Result<CallReply, ExchangeError> {
+) -> Result<CallResponse, ExchangeError> {
     let work = async {
         let options = ConnectionOptions::default();
-        let opened = HttpConnection::open(address, call.limit, &options).await;
+        let opened = HttpConnection::open(address, call.timeout, &options).await;
         let mut connection = opened.map_err(ExchangeError::Connect)?;
         connection.call(address, call).await
     };
-    tokio::time::timeout(call.limit, work).await.unwrap_or(Err(ExchangeError::Timeout))
+    tokio::time::timeout(call.timeout, work).await.unwrap_or(Err(ExchangeError::Timeout))
 }
 
 impl HttpConnection {
@@ -85,7 +85,7 @@
         &mut self,
         host: SocketAddr,
         call: &CallRequest<'_>,
-    ) -> Result<CallReply, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         let mut head = HeadWriter::request(call.method.as_bytes(), call.target.as_bytes());
         head.text("Host", &host.to_string());
         if !call.content_type.is_empty() {
@@ -96,26 +96,26 @@
         let head = self.read_response().await?;
         let reader = BodyReader::new(head.framing(call.method.as_bytes()));
         let body = self.read_body(reader, call.max_body).await?;
-        Ok(CallReply { status: head.status, headers: head.headers, body })
+        Ok(CallResponse { status: head.status, headers: head.headers, body })
     }
 }
 
 /// Calls to one address over a connection that is kept between them.
 #[derive(Debug)]
-pub struct KeptClient {
+pub struct PersistentClient {
     address: SocketAddr,
     connect_limit: Option<Duration>,
     connection: Option<HttpConnection>,
 }
 
-impl KeptClient {
+impl PersistentClient {
     /// A client that connects with its first call.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, connect_limit: None, connection: None }
     }
 
     /// A client whose connections must open within `limit`, however long its calls may take.
-    pub fn with_connect_limit(address: SocketAddr, limit: Duration) -> Self {
+    pub fn with_connect_timeout(address: SocketAddr, limit: Duration) -> Self {
         Self { address, connect_limit: Some(limit), connection: None }
     }
 
@@ -128,9 +128,10 @@
     ///
     /// # Errors
     /// See [`ExchangeError`].
-    pub async fn call(&mut self, call: &CallRequest<'_>) -> Result<CallReply, ExchangeError> {
-        let connect_limit = self.connect_limit.map_or(call.limit, |limit| limit.min(call.limit));
-        let kept = self.connection.take().filter(HttpConnection::is_quiet);
+    pub async fn call(&mut self, call: &CallRequest<'_>) -> Result<CallResponse, ExchangeError> {
+        let connect_limit =
+            self.connect_limit.map_or(call.timeout, |limit| limit.min(call.timeout));
+        let kept = self.connection.take().filter(HttpConnection::is_idle);
         let address = self.address;
         let connection = async {
             if let Some(connection) = kept {
@@ -148,8 +149,11 @@
     ///
     /// # Errors
     /// See [`ExchangeError`]; nothing is sent where no connection is open.
-    pub async fn call_kept(&mut self, call: &CallRequest<'_>) -> Result<CallReply, ExchangeError> {
-        let kept = self.connection.take().filter(HttpConnection::is_quiet);
+    pub async fn call_reused(
+        &mut self,
+        call: &CallRequest<'_>,
+    ) -> Result<CallResponse, ExchangeError> {
+        let kept = self.connection.take().filter(HttpConnection::is_idle);
         let closed = || ExchangeError::Connect(io::ErrorKind::NotConnected.into());
         self.call_over(async { kept.ok_or_else(closed) }, call).await
     }
@@ -158,14 +162,14 @@
         &mut self,
         connection: impl Future<Output = Result<HttpConnection, ExchangeError>>,
         call: &CallRequest<'_>,
-    ) -> Result<CallReply, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         let address = self.address;
         let work = async {
             let mut connection = connection.await?;
             let reply = connection.call(address, call).await?;
             Ok((connection, reply))
         };
-        let done = tokio::time::timeout(call.limit, work).await;
+        let done = tokio::time::timeout(call.timeout, work).await;
         let (connection, reply) = done.unwrap_or(Err(ExchangeError::Timeout))?;
         if !reply.headers.wants_close() {
             self.connection = Some(connection);
--- a/crates/h1/src/head.rs
+++ b/crates/h1/src/head.rs
@@ -22,7 +22,7 @@
     AmbiguousLength,
     /// A transfer coding other than `chunked`.
     #[error("the transfer coding is not supported")]
-    UnknownCoding,
+    UnsupportedCoding,
 }
 
 /// One header field. Name and value share the head's buffer.
@@ -106,7 +106,7 @@
             return if chunked {
                 Ok(Some(BodyFraming::Chunked))
             } else {
-                Err(HeadError::UnknownCoding)
+                Err(HeadError::UnsupportedCoding)
             };
         }
         Ok(length.map(BodyFraming::Length))
--- a/crates/h1/src/lib.rs
+++ b/crates/h1/src/lib.rs
@@ -22,7 +22,7 @@
     accept::spawn_accept,
     body::{BodyFraming, BodyReader},
     connection::{ConnectionOptions, HttpConnection, ReadError, bind_listener},
-    exchange::{CallReply, CallRequest, ExchangeError, KeptClient, exchange},
+    exchange::{CallRequest, CallResponse, ExchangeError, PersistentClient, exchange},
     head::{HeadError, HeaderField, HeaderList, RequestHead, ResponseHead},
     writer::{HeadWriter, chunk_frame, last_chunk},
 };
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -9,7 +9,7 @@
 //!
 //! Second, whether a failed request may have run. `awc` reports a connection that closed after the
 //! request was written as a connect error ([`ConnectError::Disconnected`]); taking every connect
-//! error for "not run" would run a request twice. [`send_failure`] knows the difference.
+//! error for "not run" would run a request twice. [`classify_send_error`] knows the difference.
 
 use actix_http::{Method, StatusCode, header};
 use actix_rt::net::{ActixStream, Ready};
@@ -71,7 +71,7 @@
 }
 
 /// What a failed send says about the request.
-pub fn send_failure(error: &SendRequestError) -> FailureReport {
+pub fn classify_send_error(error: &SendRequestError) -> FailureReport {
     let detail = error.to_string();
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -15,10 +15,10 @@
 
 pub use crate::{
     body::{read_body, read_json},
-    client::{ClientOptions, check_framing, http_client, send_failure},
+    client::{ClientOptions, check_framing, classify_send_error, http_client},
     headers::{forwarded_headers, header_text},
     metrics::DaemonMetrics,
-    reply::{failure_reply, json_reply, reported_failure, text_reply},
+    reply::{failure_from_headers, failure_reply, json_reply, text_reply},
     server::{HttpHandler, HttpReply, ServerHandle, ServerOptions, spawn_server},
     token::{SecretToken, TokenError, bearer_token},
 };
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -62,7 +62,7 @@
 
 /// The failure that an answer of one of our processes reports, if it reports one. An answer of a
 /// target, whatever its status, has no verdict header and is an answer.
-pub fn reported_failure(headers: &HeaderMap) -> Option<FailureReport> {
+pub fn failure_from_headers(headers: &HeaderMap) -> Option<FailureReport> {
     let text = |name| headers.get(HeaderName::from_static(name))?.to_str().ok();
     let verdict: RequestVerdict = text(VERDICT_HEADER)?.parse().ok()?;
     let reason: RefusalReason = text(REASON_HEADER)?.parse().ok()?;
--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -3,7 +3,7 @@
 
 use awc::{Client, http::StatusCode};
 use egretseam_fakes::{ExpectedAnswer, PlainLedger};
-use egretseam_http::{ClientOptions, http_client, reported_failure};
+use egretseam_http::{ClientOptions, failure_from_headers, http_client};
 use egretseam_proto::{ChunkDigest, IDEMPOTENCY_HEADER, RefusalReason, RequestVerdict};
 use futures::StreamExt;
 use serde::Deserialize;
@@ -226,7 +226,7 @@
             Ok(answer) => answer,
             Err(error) => {
                 // A connection that was refused, or closed unused by a stopping entry, did nothing.
-                let report = egretseam_http::send_failure(&error);
+                let report = egretseam_http::classify_send_error(&error);
                 self.forget(address);
                 return match report.verdict {
                     RequestVerdict::NotRun => CallOutcome::NotRun,
@@ -234,7 +234,7 @@
                 };
             }
         };
-        if let Some(report) = reported_failure(answer.headers()) {
+        if let Some(report) = failure_from_headers(answer.headers()) {
             if report.reason == RefusalReason::Stopping {
                 self.forget(address);
             }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -5,7 +5,7 @@
 
 use awc::{Client, ClientResponse, http::StatusCode};
 use egretseam_catalog::{ConfigEdit, ConfigView, EditRejection, EditRequest, HistoryRecord};
-use egretseam_http::{ClientOptions, SecretToken, http_client, reported_failure};
+use egretseam_http::{ClientOptions, SecretToken, failure_from_headers, http_client};
 use egretseam_proto::{
     FailureReport, OperationId, ProfileName, RequestVerdict, Revision, TargetReport,
 };
@@ -118,12 +118,12 @@
         let mut answer = self.post("/v1/edits", request).await?;
         match answer.status() {
             StatusCode::OK => Ok(read::<AcceptedReply>(&mut answer).await?.revision),
-            StatusCode::CONFLICT if reported_failure(answer.headers()).is_none() => {
+            StatusCode::CONFLICT if failure_from_headers(answer.headers()).is_none() => {
                 let current = read::<ConflictReply>(&mut answer).await?.current;
                 Err(OperatorError::Conflict { current })
             }
             StatusCode::NOT_FOUND | StatusCode::UNPROCESSABLE_ENTITY
-                if reported_failure(answer.headers()).is_none() =>
+                if failure_from_headers(answer.headers()).is_none() =>
             {
                 Err(OperatorError::Refused(read::<EditRejection>(&mut answer).await?.message))
             }
@@ -191,7 +191,7 @@
         let url = format!("http://{}{path}", self.address);
         let call = self.client.post(url).bearer_auth(self.token.expose()).timeout(CALL_LIMIT);
         call.send_json(body).await.map_err(|error| {
-            let report = egretseam_http::send_failure(&error);
+            let report = egretseam_http::classify_send_error(&error);
             match report.verdict {
                 RequestVerdict::NotRun => OperatorError::NotRun(error.to_string()),
                 _ => OperatorError::Unknown(error.to_string()),
@@ -208,7 +208,7 @@
 
 async fn failure(answer: &mut ClientResponse) -> OperatorError {
     let status = answer.status();
-    let report: Option<FailureReport> = reported_failure(answer.headers());
+    let report: Option<FailureReport> = failure_from_headers(answer.headers());
     let body = answer.body().limit(MAX_ANSWER_BYTES).await.unwrap_or_default();
     let problem: Option<ProblemDetail> = serde_json::from_slice(&body).ok();
     let detail = problem.map_or_else(|| status.to_string(), |problem| problem.detail);
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -10,7 +10,7 @@
     order_tracker::OrderTracker,
     uploads::PartUploads,
 };
-use egretseam_h1::{CallReply, CallRequest, ExchangeError, KeptClient};
+use egretseam_h1::{CallRequest, CallResponse, ExchangeError, PersistentClient};
 use egretseam_http::DaemonMetrics;
 use egretseam_rpc::{WeightsKey, WeightsPlan};
 use egretseam_serving::{EngineStatus, HeldModel, Incarnation, SwarmPeer};
@@ -156,8 +156,8 @@
     pub(crate) downloads: PartDownloads,
     /// Limits the parts in flight to other agents, for the same reason.
     pub(crate) uploads: PartUploads,
-    staging_client: Mutex<KeptClient>,
-    polling_client: Mutex<KeptClient>,
+    staging_client: Mutex<PersistentClient>,
+    polling_client: Mutex<PersistentClient>,
 }
 
 impl StagerShared {
@@ -194,8 +194,8 @@
             origin_unreachable: Cell::new(false),
             downloads: PartDownloads::new(options.upload_bytes_per_second),
             uploads: PartUploads::new(options.upload_bytes_per_second),
-            staging_client: Mutex::new(KeptClient::new(options.target)),
-            polling_client: Mutex::new(KeptClient::new(options.target)),
+            staging_client: Mutex::new(PersistentClient::new(options.target)),
+            polling_client: Mutex::new(PersistentClient::new(options.target)),
             options,
         }
     }
@@ -204,14 +204,14 @@
     pub(crate) async fn call_engine(
         &self,
         call: &EngineRequest,
-    ) -> Result<CallReply, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         self.lock_engine().await.call(call).await
     }
 
     pub(crate) async fn send_order(
         &self,
         call: &EngineRequest,
-    ) -> Result<CallReply, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         self.staging_client.lock().await.call(&request(call, ORDER_TIMEOUT)).await
     }
 
@@ -224,7 +224,7 @@
     pub(crate) async fn poll_engine(
         &self,
         call: &EngineRequest,
-    ) -> Result<CallReply, ExchangeError> {
+    ) -> Result<CallResponse, ExchangeError> {
         self.polling_client.lock().await.call(&request(call, ENGINE_CALL_TIMEOUT)).await
     }
 
@@ -280,11 +280,14 @@
 
 /// Exclusive use of the connection for staging and orders.
 pub(crate) struct EngineConnection<'a> {
-    client: MutexGuard<'a, KeptClient>,
+    client: MutexGuard<'a, PersistentClient>,
 }
 
 impl EngineConnection<'_> {
-    pub(crate) async fn call(&mut self, call: &EngineRequest) -> Result<CallReply, ExchangeError> {
+    pub(crate) async fn call(
+        &mut self,
+        call: &EngineRequest,
+    ) -> Result<CallResponse, ExchangeError> {
         self.client.call(&request(call, ENGINE_CALL_TIMEOUT)).await
     }
 
@@ -293,8 +296,8 @@
     pub(crate) async fn order_on_same_connection(
         &mut self,
         call: &EngineRequest,
-    ) -> Result<CallReply, ExchangeError> {
-        self.client.call_kept(&request(call, ORDER_TIMEOUT)).await
+    ) -> Result<CallResponse, ExchangeError> {
+        self.client.call_reused(&request(call, ORDER_TIMEOUT)).await
     }
 }
 
@@ -326,7 +329,7 @@
         target: &call.path_and_query,
         content_type: call.content_type,
         body: &call.body,
-        limit,
+        timeout: limit,
         max_body: MAX_RESPONSE_BYTES,
     }
 }
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -7,7 +7,7 @@
     shared::{StagerShared, request},
 };
 use bytes::Bytes;
-use egretseam_h1::KeptClient;
+use egretseam_h1::PersistentClient;
 use egretseam_proto::InstanceName;
 use egretseam_rpc::{ChunkLink, LinkOptions, WeightsKey, WeightsPlan};
 use egretseam_serving::SwarmPeer;
@@ -50,7 +50,7 @@
     digests: Rc<WeightDigests>,
     planner: RefCell<SwarmPlanner>,
     links: RefCell<IndexMap<InstanceName, Rc<ChunkLink>>>,
-    origin: Rc<tokio::sync::Mutex<KeptClient>>,
+    origin: Rc<tokio::sync::Mutex<PersistentClient>>,
     started_at: Instant,
     /// Digest mismatches by chunk.
     digest_mismatches: RefCell<IndexMap<u32, u32>>,
@@ -291,8 +291,8 @@
 /// hang until they time out, and all instances wait for the chunks that these agents are to fetch.
 /// With the timeout of calls, 2.5 s, as the only one, new weights were 2.5 s late in every second
 /// such outage.
-pub(crate) fn origin_client(origin: SocketAddr) -> KeptClient {
-    KeptClient::with_connect_limit(origin, ORIGIN_CONNECT_TIMEOUT)
+pub(crate) fn origin_client(origin: SocketAddr) -> PersistentClient {
+    PersistentClient::with_connect_timeout(origin, ORIGIN_CONNECT_TIMEOUT)
 }
 
 /// Tasks of the fetches in flight; aborted on drop.
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -1,7 +1,7 @@
 //! What callers and operators are told when they send something that cannot be used.
 
 use crate::support::{KEY, TestCluster, block_on, options};
-use egretseam_http::{ClientOptions, http_client, reported_failure};
+use egretseam_http::{ClientOptions, failure_from_headers, http_client};
 use egretseam_proto::RequestVerdict;
 
 /// Sends one request and returns status, reason and verdict of its failure.
@@ -21,7 +21,7 @@
             call = call.bearer_auth(key);
         }
         let mut answer = call.send_body(body).await.expect("an answer");
-        let report = reported_failure(answer.headers()).expect("a failure of ours");
+        let report = failure_from_headers(answer.headers()).expect("a failure of ours");
         let kind = answer.headers().get("content-type").expect("a type").clone();
         assert_eq!(kind, "application/problem+json");
         let document: serde_json::Value = answer.json().await.expect("a problem document");
--- a/tests/all/caller_codec.rs
+++ b/tests/all/caller_codec.rs
@@ -140,13 +140,13 @@
     let head = once.read_response().await.expect("a head");
     let body = once.read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT).await;
     assert_eq!(body.expect("whole"), Bytes::from("ok"));
-    assert!(!once.is_quiet(), "the far end has closed");
+    assert!(!once.is_idle(), "the far end has closed");
 
     let twice = format!("{answer}{answer}");
     let mut doubled = connection_with(twice.as_bytes(), Ending::Close).await;
     let head = doubled.read_response().await.expect("a head");
     doubled.read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT).await.expect("whole");
-    assert!(!doubled.is_quiet(), "a second answer is there");
+    assert!(!doubled.is_idle(), "a second answer is there");
 }
 
 #[test]
--- a/tests/all/fleet/bed.rs
+++ b/tests/all/fleet/bed.rs
@@ -131,7 +131,7 @@
             target,
             content_type: "application/json",
             body,
-            limit: Duration::from_secs(5),
+            timeout: Duration::from_secs(5),
             max_body: 1 << 20,
         };
         let deadline = tokio::time::Instant::now() + PATIENCE;
@@ -163,7 +163,7 @@
             target: "/metrics",
             content_type: "",
             body: b"",
-            limit: Duration::from_secs(5),
+            timeout: Duration::from_secs(5),
             max_body: 1 << 20,
         };
         let right = async {
--- a/tests/all/fleet/bed/target.rs
+++ b/tests/all/fleet/bed/target.rs
@@ -191,7 +191,7 @@
             if let Some(pause) = pause {
                 tokio::select! {
                     () = tokio::time::sleep(pause) => {}
-                    () = connection.closed(usize::MAX) => {
+                    () = connection.wait_for_close(usize::MAX) => {
                         self.abandoned.set(self.abandoned.get() + 1);
                         return false;
                     }
--- a/tests/all/fleet/placing.rs
+++ b/tests/all/fleet/placing.rs
@@ -37,7 +37,7 @@
             target,
             content_type: "",
             body: b"",
-            limit: Duration::from_secs(5),
+            timeout: Duration::from_secs(5),
             max_body: 65_536,
         };
         exchange(address, &call).await.expect("answered")
--- a/tests/all/http_client.rs
+++ b/tests/all/http_client.rs
@@ -1,7 +1,7 @@
 //! What the HTTP client makes of connections that break, against servers written byte by byte.
 
 use crate::support::block_on;
-use egretseam_http::{ClientOptions, check_framing, http_client, send_failure};
+use egretseam_http::{ClientOptions, check_framing, classify_send_error, http_client};
 use egretseam_proto::{RefusalReason, RequestVerdict};
 use futures::StreamExt;
 use std::{
@@ -33,7 +33,7 @@
     let report = block_on(async move {
         let client = http_client(ClientOptions::default());
         let sent = client.post(format!("http://{address}/orders")).send_body("x").await;
-        send_failure(&sent.expect_err("no answer came"))
+        classify_send_error(&sent.expect_err("no answer came"))
     });
     assert_eq!(report.verdict, RequestVerdict::MayHaveRun);
     assert_eq!(report.reason, RefusalReason::BrokenAnswer);
@@ -48,7 +48,7 @@
     let report = block_on(async move {
         let client = http_client(ClientOptions::default());
         let sent = client.post(format!("http://{address}/orders")).send_body("x").await;
-        send_failure(&sent.expect_err("no answer came"))
+        classify_send_error(&sent.expect_err("no answer came"))
     });
     assert_eq!(report.verdict, RequestVerdict::NotRun);
 }
--- a/tests/all/kept_client.rs
+++ b/tests/all/kept_client.rs
@@ -1,7 +1,7 @@
 //! Calls over a connection that is kept between them.
 
 use crate::support::block_on;
-use egretseam_h1::{CallRequest, ExchangeError, KeptClient};
+use egretseam_h1::{CallRequest, ExchangeError, PersistentClient};
 use std::{
     io::{Read, Write},
     net::TcpListener,
@@ -14,7 +14,7 @@
     target: "/",
     content_type: "",
     body: b"",
-    limit: Duration::from_secs(5),
+    timeout: Duration::from_secs(5),
     max_body: 1_024,
 };
 
@@ -37,10 +37,10 @@
         answer_once(&listener);
     });
     block_on(async move {
-        let mut client = KeptClient::new(address);
+        let mut client = PersistentClient::new(address);
         client.call(&CALL).await.expect("an answer");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let kept = client.call_kept(&CALL).await;
+        let kept = client.call_reused(&CALL).await;
         assert!(matches!(kept, Err(ExchangeError::Connect(_))), "{kept:?}");
         client.call(&CALL).await.expect("an answer of the next run");
     });
--- a/tests/all/keyed_requests.rs
+++ b/tests/all/keyed_requests.rs
@@ -1,7 +1,7 @@
 //! Requests that must not be repeated, over real sockets.
 
 use crate::support::{KEY, PATIENCE, TestCluster, block_on, options};
-use egretseam_http::{ClientOptions, http_client, reported_failure};
+use egretseam_http::{ClientOptions, failure_from_headers, http_client};
 use egretseam_local::{CallOutcome, ClusterOptions};
 use egretseam_proto::{IDEMPOTENCY_HEADER, RequestVerdict};
 use std::time::Duration;
@@ -84,7 +84,7 @@
         let call = call.bearer_auth(KEY).insert_header((IDEMPOTENCY_HEADER, "seat-5"));
         let answer = call.send_json(&serde_json::json!({ "id": "another" })).await;
         let answer = answer.expect("an answer");
-        let report = reported_failure(answer.headers()).expect("a failure");
+        let report = failure_from_headers(answer.headers()).expect("a failure");
         (answer.status().as_u16(), report.verdict)
     });
     assert_eq!((status, verdict), (422, RequestVerdict::NotRun));
