--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -19,8 +19,8 @@
 use awc::ClientResponse;
 use bytes::{Bytes, BytesMut};
 use egretseam_http::{
-    HttpHandler, HttpReply, check_framing, failure_reply, forwarded_headers, header_text,
-    read_body, send_failure, text_reply,
+    HttpHandler, HttpReply, check_framing, classify_send_error, failure_reply, forwarded_headers,
+    header_text, read_body, text_reply,
 };
 use egretseam_proto::{
     DEADLINE_HEADER, FailureReport, IDEMPOTENCY_HEADER, INCARNATION_HEADER, KEY_REFUSED_HEADER,
@@ -373,7 +373,7 @@
     }
     shared.pacer.charge(admitted.body.len());
     let response = request.send_body(admitted.body.clone()).await;
-    let response = response.map_err(|error| send_failure(&error))?;
+    let response = response.map_err(|error| classify_send_error(&error))?;
     check_framing(&response, &admitted.method)?;
     let expected = header_text(&admitted.headers, VERSION_HEADER);
     let actual = header_text(response.headers(), VERSION_HEADER);
--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -1,7 +1,7 @@
 //! Error responses to invalid requests of callers and operators.
 
 use crate::support::{KEY, TestCluster, block_on, options};
-use egretseam_http::{ClientOptions, http_client, reported_failure};
+use egretseam_http::{ClientOptions, failure_from_headers, http_client};
 use egretseam_proto::RequestVerdict;
 
 /// Sends one request and returns the status, reason and verdict of the error response.
@@ -21,8 +21,8 @@
             request = request.bearer_auth(key);
         }
         let mut response = request.send_body(body).await.expect("a response");
-        let report =
-            reported_failure(response.headers()).expect("a verdict and a reason in the headers");
+        let report = failure_from_headers(response.headers())
+            .expect("a verdict and a reason in the headers");
         let content_type = response.headers().get("content-type").expect("a content type").clone();
         assert_eq!(content_type, "application/problem+json");
         let document: serde_json::Value = response.json().await.expect("a problem document");
--- a/tests/all/caller_codec.rs
+++ b/tests/all/caller_codec.rs
@@ -141,7 +141,7 @@
     let head = once.read_response().await.expect("a head");
     let body = once.read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT).await;
     assert_eq!(body.expect("a complete body"), Bytes::from("ok"));
-    assert!(!once.is_quiet(), "the peer has closed");
+    assert!(!once.is_idle(), "the peer has closed");
 
     let twice = format!("{response}{response}");
     let mut connection = connection_with(twice.as_bytes(), Ending::Close).await;
@@ -150,7 +150,7 @@
         .read_body(BodyReader::new(head.framing(b"GET")), BODY_LIMIT)
         .await
         .expect("a complete body");
-    assert!(!connection.is_quiet(), "a second response has arrived");
+    assert!(!connection.is_idle(), "a second response has arrived");
 }
 
 #[test]
