--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -129,7 +129,7 @@
     }
 
     /// Whether the entry sends requests to the target of that identity.
-    pub fn knows_target(&self, id: &str) -> bool {
+    pub fn is_target_ready(&self, id: &str) -> bool {
         self.entry.as_ref().is_some_and(|entry| entry.is_target_ready(id))
     }
 
--- a/crates/daemon/src/log_budget.rs
+++ b/crates/daemon/src/log_rate_limit.rs
@@ -28,11 +28,11 @@
 
 /// Counts lines by kind; a layer that disables those beyond the budget.
 #[derive(Clone, Debug, Default)]
-pub struct LogBudget {
+pub struct LogRateLimit {
     rows: Arc<Mutex<IndexMap<Identifier, KindRow>>>,
 }
 
-impl LogBudget {
+impl LogRateLimit {
     /// Whether a line of that kind may be written now.
     fn admit(&self, kind: Identifier, name: &'static str, now: Instant) -> bool {
         let Ok(mut rows) = self.rows.lock() else { return true };
@@ -51,14 +51,14 @@
     }
 
     /// Lines left out since the last call, by the place in the code that writes them.
-    pub fn take_left_out(&self) -> Vec<(&'static str, u64)> {
+    pub fn take_dropped(&self) -> Vec<(&'static str, u64)> {
         let Ok(mut rows) = self.rows.lock() else { return Vec::new() };
         let silenced = rows.values_mut().filter(|row| row.left_out > 0);
         silenced.map(|row| (row.name, std::mem::take(&mut row.left_out))).collect()
     }
 }
 
-impl<S: Subscriber> Layer<S> for LogBudget {
+impl<S: Subscriber> Layer<S> for LogRateLimit {
     fn event_enabled(&self, event: &Event<'_>, _: Context<'_, S>) -> bool {
         let metadata = event.metadata();
         self.admit(metadata.callsite(), metadata.name(), Instant::now())
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -33,13 +33,13 @@
     },
     /// The change breaks a rule; nothing was changed.
     #[error("{0}")]
-    Refused(String),
+    Rejected(String),
     /// The token is wrong or missing.
     #[error("the operator token was refused")]
     Unauthorized,
     /// Nothing was changed, because nobody could take the call.
     #[error("not done: {0}")]
-    NotRun(String),
+    NotExecuted(String),
     /// Nobody knows whether the change was made; look before trying again.
     #[error("outcome unknown: {0}")]
     Unknown(String),
@@ -97,11 +97,11 @@
     pub async fn edit(&self, base: Revision, edit: ConfigEdit) -> Result<Revision, OperatorError> {
         let operation = OperationId(rand::random());
         let request = EditRequest { operation, base, actor: self.actor.clone(), edit };
-        let mut last = OperatorError::NotRun("nothing was sent".to_owned());
+        let mut last = OperatorError::NotExecuted("nothing was sent".to_owned());
         let mut may_have_run = false;
         for _ in 0..RESENDS {
             match self.edit_once(&request).await {
-                Err(error @ (OperatorError::Unknown(_) | OperatorError::NotRun(_))) => {
+                Err(error @ (OperatorError::Unknown(_) | OperatorError::NotExecuted(_))) => {
                     may_have_run |= matches!(error, OperatorError::Unknown(_));
                     last = error;
                 }
@@ -109,7 +109,9 @@
             }
         }
         match last {
-            OperatorError::NotRun(detail) if may_have_run => Err(OperatorError::Unknown(detail)),
+            OperatorError::NotExecuted(detail) if may_have_run => {
+                Err(OperatorError::Unknown(detail))
+            }
             other => Err(other),
         }
     }
@@ -125,7 +127,7 @@
             StatusCode::NOT_FOUND | StatusCode::UNPROCESSABLE_ENTITY
                 if reported_failure(answer.headers()).is_none() =>
             {
-                Err(OperatorError::Refused(read::<EditRejection>(&mut answer).await?.message))
+                Err(OperatorError::Rejected(read::<EditRejection>(&mut answer).await?.message))
             }
             _ => Err(failure(&mut answer).await),
         }
@@ -176,7 +178,7 @@
         let url = format!("http://{}{path}", self.address);
         let call = self.client.get(url).bearer_auth(self.token.expose()).timeout(CALL_LIMIT);
         let sent = call.send().await;
-        let mut answer = sent.map_err(|error| OperatorError::NotRun(error.to_string()))?;
+        let mut answer = sent.map_err(|error| OperatorError::NotExecuted(error.to_string()))?;
         if answer.status().is_success() {
             return read(&mut answer).await;
         }
@@ -193,7 +195,7 @@
         call.send_json(body).await.map_err(|error| {
             let report = egretseam_http::send_failure(&error);
             match report.verdict {
-                RequestVerdict::NotRun => OperatorError::NotRun(error.to_string()),
+                RequestVerdict::NotRun => OperatorError::NotExecuted(error.to_string()),
                 _ => OperatorError::Unknown(error.to_string()),
             }
         })
@@ -216,9 +218,9 @@
         (StatusCode::UNAUTHORIZED, _) => OperatorError::Unauthorized,
         (status, Some(report)) if report.verdict == RequestVerdict::NotRun => {
             if status.is_client_error() {
-                OperatorError::Refused(detail)
+                OperatorError::Rejected(detail)
             } else {
-                OperatorError::NotRun(detail)
+                OperatorError::NotExecuted(detail)
             }
         }
         _ => OperatorError::Unknown(detail),
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -28,7 +28,7 @@
     /// The command line could not be parsed (set by the argument parser).
     pub const USAGE: u8 = 2;
     /// Refused for good: a rule, a missing thing, a wrong token.
-    pub const REFUSED: u8 = 3;
+    pub const REJECTED: u8 = 3;
     /// Someone else changed the thing first.
     pub const CONFLICT: u8 = 4;
     /// Nobody knows whether it was done.
@@ -36,7 +36,7 @@
     /// Not done, because no quorum could be reached; may be tried again.
     pub const UNAVAILABLE: u8 = 6;
     /// The drill found something that must not happen.
-    pub const UNCLEAN: u8 = 7;
+    pub const DRILL_FAILED: u8 = 7;
 }
 
 /// Brings model weights to many instances, whole, and gives every live request one answer.
@@ -84,21 +84,21 @@
             Ok(()) => ExitCode::from(exit::DONE),
             Err(error) => {
                 eprintln!("egretseam: {error:#}");
-                ExitCode::from(code_of(&error))
+                ExitCode::from(exit_code(&error))
             }
         }
     }
 }
 
-fn code_of(error: &anyhow::Error) -> u8 {
-    if error.downcast_ref::<local::UncleanDrill>().is_some() {
-        return exit::UNCLEAN;
+fn exit_code(error: &anyhow::Error) -> u8 {
+    if error.downcast_ref::<local::DrillFailure>().is_some() {
+        return exit::DRILL_FAILED;
     }
     match error.downcast_ref::<OperatorError>() {
         Some(OperatorError::Conflict { .. }) => exit::CONFLICT,
-        Some(OperatorError::Refused(_) | OperatorError::Unauthorized) => exit::REFUSED,
+        Some(OperatorError::Rejected(_) | OperatorError::Unauthorized) => exit::REJECTED,
         Some(OperatorError::Unknown(_)) => exit::UNKNOWN,
-        Some(OperatorError::NotRun(_)) => exit::UNAVAILABLE,
+        Some(OperatorError::NotExecuted(_)) => exit::UNAVAILABLE,
         None => exit::FAILED,
     }
 }
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -3,7 +3,7 @@
 use anyhow::Context;
 use clap::Args;
 use egretseam_config::FleetSettings;
-use egretseam_daemon::{FleetDialects, FleetRuntime, LogBudget};
+use egretseam_daemon::{FleetDialects, FleetRuntime, LogRateLimit};
 use egretseam_platform::{PlatformCallers, PlatformControl, PlatformEngine, SETTINGS_VARIABLE};
 use std::{
     path::{Path, PathBuf},
@@ -44,8 +44,8 @@
 
 /// Sends log lines to standard output, one JSON object a line. A reader that falls behind costs
 /// lines, never time.
-fn start_log(writer: NonBlocking) -> LogBudget {
-    let budget = LogBudget::default();
+fn start_log(writer: NonBlocking) -> LogRateLimit {
+    let budget = LogRateLimit::default();
     let lines = tracing_subscriber::fmt::layer()
         .json()
         .flatten_event(true)
@@ -58,16 +58,16 @@
 }
 
 /// Says what the budget left out.
-async fn report_left_out(budget: LogBudget) {
+async fn report_left_out(budget: LogRateLimit) {
     loop {
         tokio::time::sleep(LEFT_OUT_INTERVAL).await;
-        for (kind, lines) in budget.take_left_out() {
+        for (kind, lines) in budget.take_dropped() {
             tracing::warn!(kind, lines, "log lines were left out");
         }
     }
 }
 
-async fn run(path: PathBuf, settings: FleetSettings, budget: LogBudget) -> anyhow::Result<()> {
+async fn run(path: PathBuf, settings: FleetSettings, budget: LogRateLimit) -> anyhow::Result<()> {
     actix_rt::spawn(report_left_out(budget));
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/src/commands/local.rs
+++ b/src/commands/local.rs
@@ -27,7 +27,7 @@
 /// The drill found something that must not happen.
 #[derive(Debug, Error)]
 #[error("{wrong} wrong, {lost} lost, {doubled} doubled, {cut_off} cut off; all must be 0")]
-pub(super) struct UncleanDrill {
+pub(super) struct DrillFailure {
     wrong: u64,
     lost: u64,
     doubled: u64,
@@ -54,7 +54,7 @@
             return Ok(());
         }
         let DrillReport { wrong, lost, doubled, cut_off, .. } = report;
-        Err(UncleanDrill { wrong, lost, doubled, cut_off }.into())
+        Err(DrillFailure { wrong, lost, doubled, cut_off }.into())
     }
 }
 
--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -137,10 +137,10 @@
         }
         match client.change_members(&MembershipChange::Promote(id)).await {
             Ok(()) => return Ok(()),
-            Err(OperatorError::Refused(why)) if tokio::time::Instant::now() < deadline => {
+            Err(OperatorError::Rejected(why)) if tokio::time::Instant::now() < deadline => {
                 eprintln!("member {id} cannot vote yet: {why}");
             }
-            Err(OperatorError::Refused(why)) => bail!("member {id} did not catch up: {why}"),
+            Err(OperatorError::Rejected(why)) => bail!("member {id} did not catch up: {why}"),
             Err(error) => return Err(error.into()),
         }
         tokio::time::sleep(TRY_PAUSE).await;
--- a/src/commands/profile.rs
+++ b/src/commands/profile.rs
@@ -187,7 +187,7 @@
 async fn find(client: &OperatorClient, name: &ProfileName) -> anyhow::Result<ProfileRecord> {
     let view = client.config().await?;
     let record = view.profiles.get(name).cloned();
-    record.ok_or_else(|| OperatorError::Refused(format!("no profile {name}")).into())
+    record.ok_or_else(|| OperatorError::Rejected(format!("no profile {name}")).into())
 }
 
 async fn base_of(
--- a/tests/all/fleet/bed.rs
+++ b/tests/all/fleet/bed.rs
@@ -197,7 +197,7 @@
     pub(super) async fn start_target(&mut self, id: &str) -> Rc<ScriptedTarget> {
         let target = ScriptedTarget::start(self.unused_host(), id).await;
         self.announce(&target, "ready").await;
-        self.wait_until(|| self.entry.knows_target(id)).await;
+        self.wait_until(|| self.entry.is_target_ready(id)).await;
         target
     }
 
--- a/tests/all/fleet/placing.rs
+++ b/tests/all/fleet/placing.rs
@@ -13,14 +13,14 @@
     let mut bed = FleetBed::start().await;
     let (one, two) = (bed.start_target("i-1").await, bed.start_target("i-2").await);
     bed.announce(&one, "draining").await;
-    bed.wait_until(|| !bed.entry.knows_target("i-1")).await;
+    bed.wait_until(|| !bed.entry.is_target_ready("i-1")).await;
     for number in 0..10 {
         let text = request("/once/1", &format!("r{number}"), "", "");
         assert_eq!(bed.send_request(&text).await.expect("a complete response").status, 200);
     }
     assert_eq!((one.arrived(), two.arrived()), (0, 10));
     assert_eq!(bed.call("POST", "/instances/i-2/deregister", "").await.0, 200);
-    bed.wait_until(|| !bed.entry.knows_target("i-2")).await;
+    bed.wait_until(|| !bed.entry.is_target_ready("i-2")).await;
     bed.announce(&two, "ready").await;
     let response =
         bed.send_request(&request("/once/1", "r11", "", "")).await.expect("a complete response");
--- a/tests/all/fleet/reports.rs
+++ b/tests/all/fleet/reports.rs
@@ -25,9 +25,9 @@
         fixture.call("POST", path, &heartbeat(&address, 1_000, 70, "draining")).await.0,
         200
     );
-    fixture.wait_until(|| !fixture.entry.knows_target("i-1")).await;
+    fixture.wait_until(|| !fixture.entry.is_target_ready("i-1")).await;
     assert_eq!(fixture.call("POST", path, &heartbeat(&address, 2_000, 1, "ready")).await.0, 200);
-    fixture.wait_until(|| fixture.entry.knows_target("i-1")).await;
+    fixture.wait_until(|| fixture.entry.is_target_ready("i-1")).await;
     // Delayed reports of the previous incarnation change nothing.
     assert_eq!(
         fixture.call("POST", path, &heartbeat(&address, 1_000, 71, "draining")).await.0,
@@ -40,9 +40,9 @@
     assert_eq!(answer.status, 200);
     // A target that leaves without stating its incarnation means the current one.
     assert_eq!(fixture.call("POST", "/instances/i-1/deregister", "").await.0, 200);
-    fixture.wait_until(|| !fixture.entry.knows_target("i-1")).await;
+    fixture.wait_until(|| !fixture.entry.is_target_ready("i-1")).await;
     assert_eq!(fixture.call("POST", path, &heartbeat(&address, 3_000, 1, "ready")).await.0, 200);
-    fixture.wait_until(|| fixture.entry.knows_target("i-1")).await;
+    fixture.wait_until(|| fixture.entry.is_target_ready("i-1")).await;
 }
 
 /// Guards against a healthy target without requests, and a control member that crashes. Another
@@ -102,7 +102,7 @@
     for body in [&b"{\"born\":\"x\"}"[..], b"{", b"\xff"] {
         assert_eq!(fixture.call_with("POST", "/instances/i-1/deregister", body).await.0, 400);
     }
-    assert!(!fixture.entry.knows_target("i-9"));
+    assert!(!fixture.entry.is_target_ready("i-9"));
     let answer =
         fixture.send_request(&request("/once/1", "r1", "", "")).await.expect("a complete response");
     assert_eq!((answer.status, healthy.arrived()), (200, 1));
--- a/tests/all/fleet_settings.rs
+++ b/tests/all/fleet_settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a process that a platform placed, and the volume of its log.
 
 use egretseam_config::FleetSettings;
-use egretseam_daemon::LogBudget;
+use egretseam_daemon::LogRateLimit;
 use serde_json::{Value, json};
 use std::time::Duration;
 use tracing_subscriber::layer::SubscriberExt;
@@ -66,7 +66,7 @@
 /// line for each. Beyond so many lines a second of one kind, the rest is only counted.
 #[test]
 fn a_storm_of_lines_is_bounded_and_counted() {
-    let budget = LogBudget::default();
+    let budget = LogRateLimit::default();
     let (counter, written) = CountingLayer::new();
     let subscriber = tracing_subscriber::registry().with(budget.clone()).with(counter);
     tracing::subscriber::with_default(subscriber, || {
@@ -78,7 +78,7 @@
     let written = written.load(std::sync::atomic::Ordering::Relaxed);
     // A second may turn over while the storm lasts.
     assert!((2..2_000).contains(&written), "{written}");
-    let left_out: u64 = budget.take_left_out().iter().map(|(_, lines)| lines).sum();
+    let left_out: u64 = budget.take_dropped().iter().map(|(_, lines)| lines).sum();
     assert_eq!(written + left_out, 10_001);
 }
 
