--- a/crates/bench/src/burst.rs
+++ b/crates/bench/src/burst.rs
@@ -160,7 +160,7 @@
             let pieces = 100 * u64::from(CHUNK_BYTES) / (32 * 1024);
             let one_in = pieces.div_euclid(self.corrupt).max(1);
             for agent in cluster.agents() {
-                agent.chunk_link.damage_one_in.store(one_in, Ordering::Relaxed);
+                agent.chunk_link.corrupt_one_in.store(one_in, Ordering::Relaxed);
             }
         }
         self.burst(&mut cluster, &model)
@@ -235,11 +235,12 @@
         after: &MetricSums,
     ) -> anyhow::Result<BurstRow> {
         let copies = |bytes: f64| bytes / model.bytes as f64;
-        let origin_copies = copies(cluster.origin.counters.bytes.load(Ordering::Relaxed) as f64);
+        let origin_copies =
+            copies(cluster.origin.counters.bytes_sent.load(Ordering::Relaxed) as f64);
         let store_copies = cluster
             .store
             .as_ref()
-            .map_or(0.0, |store| copies(store.counters.bytes.load(Ordering::Relaxed) as f64));
+            .map_or(0.0, |store| copies(store.counters.bytes_sent.load(Ordering::Relaxed) as f64));
         let bound = BurstBound {
             instances: self.agents as u32,
             origin_rate: 4.0 / self.window_seconds,
@@ -295,7 +296,7 @@
 /// Asks every engine that serves for one token and compares it with the published bytes.
 fn wrong_loads(cluster: &LocalCluster, model: &PublishedModel) -> anyhow::Result<u64> {
     let targets: Vec<String> = cluster.agents().map(|agent| agent.target_address.clone()).collect();
-    let expected = egretseam_fakes::ExpectedAnswer::new(model.digest, "probe").text(2);
+    let expected = egretseam_fakes::ExpectedCompletion::new(model.digest, "probe").text(2);
     actix_rt::System::new().block_on(async move {
         let client = egretseam_http::http_client(egretseam_http::ClientOptions::default());
         let mut wrong = 0;
--- a/crates/bench/src/requests.rs
+++ b/crates/bench/src/requests.rs
@@ -121,8 +121,8 @@
             engine: EngineOptions {
                 slots: SLOTS,
                 token_interval: TOKEN_INTERVAL,
-                block_time: BLOCK_TIME,
-                cache_blocks: 96,
+                prefill_block_time: BLOCK_TIME,
+                cache_capacity_blocks: 96,
                 load_time: Duration::from_millis(300),
                 ..EngineOptions::default()
             },
@@ -161,7 +161,7 @@
             offered_per_second: plan.organisations.iter().map(|o| o.per_second).sum(),
             capacity_per_second: capacity(),
             result,
-            doubled: cluster.ledger.doubled() as u64,
+            doubled: cluster.ledger.duplicate_count() as u64,
             entry_refusals: sums.by_label("egretseam_refusals_total"),
             agent_refusals: agents.by_label("egretseam_refusals_total"),
             retries_ratio: sums.get("egretseam_retries_total") / requests,
@@ -227,7 +227,7 @@
             }
             RequestScenario::Brownout => {
                 for agent in cluster.agents().take(TARGETS / 3) {
-                    agent.faults.slowness.store(8, Ordering::Relaxed);
+                    agent.faults.slowdown.store(8, Ordering::Relaxed);
                 }
             }
             RequestScenario::ZoneLoss => {
--- a/crates/bench/src/requests/load.rs
+++ b/crates/bench/src/requests/load.rs
@@ -2,7 +2,7 @@
 //! latency counts from when they were due, so that a stall shows in every request it delayed.
 
 use awc::Client;
-use egretseam_fakes::ExpectedAnswer;
+use egretseam_fakes::ExpectedCompletion;
 use egretseam_http::{ClientOptions, http_client, reported_failure, send_failure};
 use egretseam_proto::{ChunkDigest, RequestVerdict};
 use futures::StreamExt;
@@ -257,8 +257,9 @@
             whole.push_str(reply["choices"][0]["text"].as_str().unwrap_or_default());
         }
     }
-    let right =
-        |version: &ChunkDigest| ExpectedAnswer::new(*version, prompt).text(plan.tokens) == whole;
+    let right = |version: &ChunkDigest| {
+        ExpectedCompletion::new(*version, prompt).text(plan.tokens) == whole
+    };
     match (done, plan.versions.iter().any(right)) {
         (false, _) => AnswerKind::CutOff,
         (true, true) => AnswerKind::Answered,
--- a/crates/bench/src/requests/overhead.rs
+++ b/crates/bench/src/requests/overhead.rs
@@ -55,7 +55,7 @@
     let engine = EngineOptions {
         slots: 64,
         token_interval: Duration::ZERO,
-        block_time: Duration::ZERO,
+        prefill_block_time: Duration::ZERO,
         load_time: Duration::ZERO,
         ..EngineOptions::default()
     };
--- a/crates/fakes/src/answer.rs
+++ b/crates/fakes/src/completion.rs
@@ -4,12 +4,12 @@
 
 /// The one right answer to a prompt from given weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ExpectedAnswer {
+pub struct ExpectedCompletion {
     weights: ChunkDigest,
     prompt: String,
 }
 
-impl ExpectedAnswer {
+impl ExpectedCompletion {
     /// The answer of an engine that loaded exactly the bytes with this digest.
     pub fn new(weights: ChunkDigest, prompt: &str) -> Self {
         Self { weights, prompt: prompt.to_owned() }
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,6 +1,6 @@
 //! A model engine: takes orders, reports its state with a lag, batches, caches prompt beginnings.
 
-use crate::answer::ExpectedAnswer;
+use crate::completion::ExpectedCompletion;
 use actix_http::{
     HttpMessage, Method, Request, Response, StatusCode, body::BodyStream, header::HeaderMap,
 };
@@ -39,9 +39,9 @@
     /// Time between tokens of one request when it is alone.
     pub token_interval: Duration,
     /// Time to compute one block of prompt that is not cached.
-    pub block_time: Duration,
+    pub prefill_block_time: Duration,
     /// Blocks of prompt that the cache holds.
-    pub cache_blocks: usize,
+    pub cache_capacity_blocks: usize,
     /// Time that a load takes, besides reading the file.
     pub load_time: Duration,
     /// Whether orders with an old fencing number are refused.
@@ -55,8 +55,8 @@
         Self {
             slots: 16,
             token_interval: Duration::from_millis(2),
-            block_time: Duration::from_micros(200),
-            cache_blocks: 512,
+            prefill_block_time: Duration::from_micros(200),
+            cache_capacity_blocks: 512,
             load_time: Duration::from_millis(200),
             checks_fences: true,
             report_lag: Duration::from_millis(300),
@@ -70,13 +70,13 @@
     /// Every load fails.
     pub fail_loads: AtomicBool,
     /// Streams break after this many tokens; 0 means never.
-    pub break_after: AtomicU64,
+    pub break_after_tokens: AtomicU64,
     /// Tokens take this many times longer; 0 counts as 1.
-    pub slowness: AtomicU64,
+    pub slowdown: AtomicU64,
     /// Orders are carried out, but their answer is lost.
     pub lose_order_replies: AtomicBool,
     /// Answers carry no last event.
-    pub omit_done: AtomicBool,
+    pub omit_done_event: AtomicBool,
 }
 
 /// What a fake engine has done.
@@ -89,9 +89,9 @@
     /// Orders taken.
     pub orders: AtomicU64,
     /// Orders refused for their fencing number.
-    pub fenced: AtomicU64,
+    pub rejected_for_fence: AtomicU64,
     /// Orders that named bytes which do not match their identity's version.
-    pub loads: AtomicU64,
+    pub loads_completed: AtomicU64,
     /// Blocks of prompt found in the cache.
     pub cache_hits: AtomicU64,
     /// Blocks of prompt computed.
@@ -216,7 +216,7 @@
 
     fn take_order(self: &Rc<Self>, order: LoadOrder) -> HttpReply {
         if self.options.checks_fences && order.fence < self.fence.get() {
-            self.counters.fenced.fetch_add(1, Ordering::Relaxed);
+            self.counters.rejected_for_fence.fetch_add(1, Ordering::Relaxed);
             return text_reply(StatusCode::CONFLICT, "outdated fencing number\n");
         }
         self.fence.set(self.fence.get().max(order.fence));
@@ -240,7 +240,7 @@
         match read {
             Ok(bytes) if !failed => {
                 let digest = ChunkDigest::of(&bytes);
-                self.counters.loads.fetch_add(1, Ordering::Relaxed);
+                self.counters.loads_completed.fetch_add(1, Ordering::Relaxed);
                 self.cache.borrow_mut().clear();
                 let identity = order.identity.clone();
                 *self.loaded.borrow_mut() = Some(LoadedWeights { identity, digest });
@@ -270,7 +270,7 @@
         let offset = header_text(headers, RESUME_HEADER).and_then(|t| t.parse().ok()).unwrap_or(0);
         let id = header_text(headers, REQUEST_ID_HEADER).unwrap_or("none").to_owned();
         let run = TokenRun {
-            expected: ExpectedAnswer::new(loaded.digest, &prompt),
+            expected: ExpectedCompletion::new(loaded.digest, &prompt),
             id,
             model: request.model.clone(),
             at: offset,
@@ -281,7 +281,7 @@
         };
         let blocks = self.uncached_blocks(prompt.as_bytes());
         run.slot.acquire().await;
-        tokio::time::sleep(self.options.block_time * blocks).await;
+        tokio::time::sleep(self.options.prefill_block_time * blocks).await;
         let mut builder = Response::build(StatusCode::OK);
         builder.insert_header((VERSION_HEADER, loaded.identity));
         if request.stream {
@@ -310,7 +310,7 @@
                 missing += 1;
             }
             cache.insert(key, ());
-            if cache.len() > self.options.cache_blocks {
+            if cache.len() > self.options.cache_capacity_blocks {
                 cache.shift_remove_index(0);
             }
         }
@@ -320,8 +320,8 @@
     /// Time to the next token with the present batch.
     fn pace(&self) -> Duration {
         let busy = f64::from(self.running.get()) / self.options.slots as f64;
-        let slowness = self.faults.slowness.load(Ordering::Relaxed).max(1) as f64;
-        self.options.token_interval.mul_f64((1.0 + 0.5 * busy) * slowness)
+        let slowdown = self.faults.slowdown.load(Ordering::Relaxed).max(1) as f64;
+        self.options.token_interval.mul_f64((1.0 + 0.5 * busy) * slowdown)
     }
 }
 
@@ -373,7 +373,7 @@
 }
 
 struct TokenRun {
-    expected: ExpectedAnswer,
+    expected: ExpectedCompletion,
     id: String,
     model: String,
     at: u64,
@@ -390,13 +390,13 @@
         }
         if self.at >= self.end {
             self.done = true;
-            if self.engine.faults.omit_done.load(Ordering::Relaxed) {
+            if self.engine.faults.omit_done_event.load(Ordering::Relaxed) {
                 return None;
             }
             return Some((Ok(Bytes::from_static(b"data: [DONE]\n\n")), self));
         }
-        let break_after = self.engine.faults.break_after.load(Ordering::Relaxed);
-        if break_after > 0 && self.at >= break_after {
+        let break_after_tokens = self.engine.faults.break_after_tokens.load(Ordering::Relaxed);
+        if break_after_tokens > 0 && self.at >= break_after_tokens {
             self.done = true;
             return Some((Err(io::Error::other("told to break")), self));
         }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -4,16 +4,16 @@
 //! A fake engine's answers are a function of the bytes it loaded, so an answer from partial or
 //! mixed weights, or from another prompt, cannot pass for a right one.
 
-mod answer;
+mod completion;
 mod engine;
 mod origin;
 mod plain;
 mod relay;
 
 pub use crate::{
-    answer::{ExpectedAnswer, synthetic_weights},
+    completion::{ExpectedCompletion, synthetic_weights},
     engine::{EngineCounters, EngineFaults, EngineOptions, FakeEngine},
     origin::{FakeOrigin, OriginCounters, OriginFaults, OriginOptions},
-    plain::{FakePlain, PlainLedger},
+    plain::{BookingLedger, FakeBookingService},
     relay::{FakeRelay, RelayFaults},
 };
--- a/crates/fakes/src/origin.rs
+++ b/crates/fakes/src/origin.rs
@@ -1,4 +1,4 @@
-//! An origin or store of weights: manifests, ranges, a throttled link, a limit on requests.
+//! An origin or store of weights: manifests, range_requests, a throttled link, a limit on requests.
 
 use actix_http::{
     HttpMessage, Method, Request, Response, StatusCode, body::SizedStream, header::HeaderMap,
@@ -40,7 +40,7 @@
 pub struct OriginFaults {
     /// Answers 503 to everything.
     pub down: AtomicBool,
-    /// One in so many ranges carries a flipped byte; 0 means none.
+    /// One in so many range_requests carries a flipped byte; 0 means none.
     pub corrupt_one_in: AtomicU64,
 }
 
@@ -48,11 +48,11 @@
 #[derive(Debug, Default)]
 pub struct OriginCounters {
     /// Bytes of weights sent.
-    pub bytes: AtomicU64,
+    pub bytes_sent: AtomicU64,
     /// Ranges asked for.
-    pub ranges: AtomicU64,
+    pub range_requests: AtomicU64,
     /// Requests refused for their rate.
-    pub limited: AtomicU64,
+    pub rate_limited: AtomicU64,
 }
 
 struct PublishedVersion {
@@ -110,7 +110,7 @@
             return text_reply(StatusCode::BAD_GATEWAY, "down\n");
         }
         if self.is_limited() {
-            counters.limited.fetch_add(1, Ordering::Relaxed);
+            counters.rate_limited.fetch_add(1, Ordering::Relaxed);
             let mut reply = text_reply(StatusCode::TOO_MANY_REQUESTS, "slow down\n");
             let value = actix_http::header::HeaderValue::from_static("1");
             reply.headers_mut().insert(actix_http::header::RETRY_AFTER, value);
@@ -152,7 +152,7 @@
         if last < first || last >= version.data.len() {
             return text_reply(StatusCode::RANGE_NOT_SATISFIABLE, "out of range\n");
         }
-        let number = self.origin.counters.ranges.fetch_add(1, Ordering::Relaxed) + 1;
+        let number = self.origin.counters.range_requests.fetch_add(1, Ordering::Relaxed) + 1;
         let mut data = version.data.slice(first..=last);
         let one_in = self.origin.faults.corrupt_one_in.load(Ordering::Relaxed);
         if one_in > 0 && number.is_multiple_of(one_in) {
@@ -187,7 +187,7 @@
         }
         let piece = self.data.split_to(self.data.len().min(PIECE_BYTES));
         self.budget.acquire(piece.len()).await;
-        self.counters.bytes.fetch_add(piece.len() as u64, Ordering::Relaxed);
+        self.counters.bytes_sent.fetch_add(piece.len() as u64, Ordering::Relaxed);
         Some((Ok(piece), self))
     }
 }
--- a/crates/fakes/src/plain.rs
+++ b/crates/fakes/src/plain.rs
@@ -21,23 +21,23 @@
 
 /// How often each order was booked, over all instances of the service.
 #[derive(Clone, Debug, Default)]
-pub struct PlainLedger {
+pub struct BookingLedger {
     runs: Arc<Mutex<IndexMap<String, u32>>>,
 }
 
-impl PlainLedger {
+impl BookingLedger {
     /// How often `id` was booked.
-    pub fn runs(&self, id: &str) -> u32 {
+    pub fn booking_count(&self, id: &str) -> u32 {
         self.runs.lock().expect("no holder panics").get(id).copied().unwrap_or(0)
     }
 
     /// Orders booked more than once.
-    pub fn doubled(&self) -> usize {
+    pub fn duplicate_count(&self) -> usize {
         self.runs.lock().expect("no holder panics").values().filter(|runs| **runs > 1).count()
     }
 
     /// Orders booked at all.
-    pub fn booked(&self) -> usize {
+    pub fn booked_count(&self) -> usize {
         self.runs.lock().expect("no holder panics").len()
     }
 
@@ -61,18 +61,18 @@
 }
 
 /// A fake plain service.
-pub struct FakePlain {
-    ledger: PlainLedger,
+pub struct FakeBookingService {
+    ledger: BookingLedger,
     work_time: Duration,
 }
 
-impl FakePlain {
+impl FakeBookingService {
     /// Starts a service on `listener`, on the current thread.
     ///
     /// # Errors
     /// Fails if the listener cannot be used.
     pub fn start(
-        ledger: PlainLedger,
+        ledger: BookingLedger,
         work_time: Duration,
         listener: TcpListener,
     ) -> io::Result<ServerHandle> {
@@ -96,7 +96,7 @@
             },
             (&Method::GET, path) if path.starts_with("/orders/") => {
                 let id = path.trim_start_matches("/orders/").to_owned();
-                let run = self.ledger.runs(&id);
+                let run = self.ledger.booking_count(&id);
                 json_reply(StatusCode::OK, &OrderReply { id, run })
             }
             _ => text_reply(StatusCode::NOT_FOUND, "no such path\n"),
@@ -104,7 +104,7 @@
     }
 }
 
-impl HttpHandler for FakePlain {
+impl HttpHandler for FakeBookingService {
     fn handle(self: Rc<Self>, request: Request) -> LocalBoxFuture<'static, HttpReply> {
         Box::pin(async move { self.answer(request).await })
     }
--- a/crates/fakes/src/relay.rs
+++ b/crates/fakes/src/relay.rs
@@ -20,7 +20,7 @@
 
 /// Bytes passed on at a time.
 const PIECE_BYTES: usize = 32 * 1024;
-/// Smallest piece that is damaged: heads of messages are smaller, chunks of weights larger.
+/// Smallest piece that is corrupted: heads of messages are smaller, chunks of weights larger.
 const DAMAGED_PIECE_BYTES: usize = 8 * 1024;
 /// How often a frozen link looks whether it may go on.
 const FROZEN_POLL: Duration = Duration::from_millis(20);
@@ -31,11 +31,11 @@
     /// Nothing passes and nothing is closed, as behind a silent partition; bytes wait.
     pub frozen: AtomicBool,
     /// One in so many large pieces arrives with a flipped byte; 0 means none.
-    pub damage_one_in: AtomicU64,
+    pub corrupt_one_in: AtomicU64,
     /// Large pieces seen.
     pieces: AtomicU64,
-    /// Large pieces damaged.
-    pub damaged: AtomicU64,
+    /// Large pieces corrupted.
+    pub corrupted: AtomicU64,
 }
 
 /// A relay on the current thread; it ends with the thread's runtime.
@@ -90,13 +90,13 @@
 }
 
 fn damage(piece: &mut [u8], faults: &RelayFaults) {
-    let one_in = faults.damage_one_in.load(Ordering::Relaxed);
+    let one_in = faults.corrupt_one_in.load(Ordering::Relaxed);
     if one_in == 0 || piece.len() < DAMAGED_PIECE_BYTES {
         return;
     }
     let number = faults.pieces.fetch_add(1, Ordering::Relaxed) + 1;
     if number.is_multiple_of(one_in) {
-        faults.damaged.fetch_add(1, Ordering::Relaxed);
+        faults.corrupted.fetch_add(1, Ordering::Relaxed);
         let last = piece.len() - 1;
         piece[last] ^= 0xff;
     }
--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -2,7 +2,7 @@
 //! for its lifetime, goes to the next address when it is told `not-run`, and checks every answer.
 
 use awc::{Client, http::StatusCode};
-use egretseam_fakes::{ExpectedAnswer, PlainLedger};
+use egretseam_fakes::{BookingLedger, ExpectedCompletion};
 use egretseam_http::{ClientOptions, http_client, reported_failure};
 use egretseam_proto::{ChunkDigest, IDEMPOTENCY_HEADER, RefusalReason, RequestVerdict};
 use futures::StreamExt;
@@ -146,7 +146,7 @@
         });
         let request = CallerRequest { path: "/v1/completions", body: &body, key: None };
         let right = |text: &str| {
-            versions.iter().any(|v| ExpectedAnswer::new(*v, prompt).text(tokens) == text)
+            versions.iter().any(|v| ExpectedCompletion::new(*v, prompt).text(tokens) == text)
         };
         let outcome = self
             .until_taken(&request, |bytes| text_of(bytes, stream).is_some_and(|text| right(&text)))
@@ -155,7 +155,7 @@
     }
 
     /// Books an order under an idempotency key, and compares the verdict with the ledger.
-    pub async fn book(&self, service: &str, id: &str, ledger: &PlainLedger) -> CallOutcome {
+    pub async fn book(&self, service: &str, id: &str, ledger: &BookingLedger) -> CallOutcome {
         let body = serde_json::json!({ "id": id });
         let path = format!("/services/{service}/orders");
         let request = CallerRequest { path: &path, body: &body, key: Some(id) };
@@ -165,7 +165,7 @@
                 reply.is_ok_and(|reply| reply["id"] == id && reply["run"] == 1)
             })
             .await;
-        let runs = ledger.runs(id);
+        let runs = ledger.booking_count(id);
         let false_verdict = match outcome {
             CallOutcome::Answered => runs != 1,
             CallOutcome::NotRun => runs != 0,
@@ -342,7 +342,7 @@
 
 impl LoadThread {
     /// Starts the load.
-    pub fn spawn(options: LoadOptions, ledger: PlainLedger) -> Self {
+    pub fn spawn(options: LoadOptions, ledger: BookingLedger) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let counts = Arc::new(CallerCounts::default());
         let (stopped, shared) = (stop.clone(), counts.clone());
@@ -386,7 +386,7 @@
 async fn run_caller(
     number: usize,
     options: Rc<LoadOptions>,
-    ledger: PlainLedger,
+    ledger: BookingLedger,
     counts: Arc<CallerCounts>,
     stop: &AtomicBool,
 ) {
--- a/crates/local/src/cluster.rs
+++ b/crates/local/src/cluster.rs
@@ -10,7 +10,7 @@
 use egretseam_catalog::{ConfigEdit, ConfigView, OrganisationSpec, ProfileSpec, WeightsSpec};
 use egretseam_daemon::{DaemonThread, DaemonTokens};
 use egretseam_fakes::{
-    EngineCounters, EngineFaults, EngineOptions, FakeOrigin, OriginOptions, PlainLedger,
+    BookingLedger, EngineCounters, EngineFaults, EngineOptions, FakeOrigin, OriginOptions,
     RelayFaults, synthetic_weights,
 };
 use egretseam_http::SecretToken;
@@ -146,7 +146,7 @@
     /// The store, if there is one.
     pub store: Option<FakeOrigin>,
     /// What the plain services booked.
-    pub ledger: PlainLedger,
+    pub ledger: BookingLedger,
     control: Vec<LocalDaemon>,
     entries: Vec<LocalDaemon>,
     agents: BTreeMap<String, LocalAgent>,
@@ -195,7 +195,7 @@
             tokens,
             origin,
             store,
-            ledger: PlainLedger::default(),
+            ledger: BookingLedger::default(),
             control: Vec::new(),
             entries: Vec::new(),
             agents: BTreeMap::new(),
--- a/crates/local/src/cluster/setup.rs
+++ b/crates/local/src/cluster/setup.rs
@@ -5,7 +5,7 @@
     parts::{BoundPorts, block_on, spawn_daemon, start_relay},
 };
 use crate::system_thread::SystemThread;
-use egretseam_fakes::{EngineCounters, EngineFaults, FakeEngine, FakePlain, RelayFaults};
+use egretseam_fakes::{EngineCounters, EngineFaults, FakeBookingService, FakeEngine, RelayFaults};
 use egretseam_operator::OperatorClient;
 use egretseam_replica::{GroupId, LogStore, MemberId, MemberRecord, MembershipChange};
 use serde_json::json;
@@ -189,7 +189,7 @@
             Ok(if is_model {
                 FakeEngine::start(options, faults, counters, listener)?
             } else {
-                FakePlain::start(ledger, work, listener)?
+                FakeBookingService::start(ledger, work, listener)?
             })
         })?;
         Ok((thread, address))
--- a/crates/local/src/drill.rs
+++ b/crates/local/src/drill.rs
@@ -111,7 +111,7 @@
     progress("callers begin; changing to version v2 under load");
     let load =
         LoadThread::spawn(load_options(&cluster, options, &first, &second), cluster.ledger.clone());
-    let fetched = cluster.origin.counters.bytes.load(Ordering::Relaxed);
+    let fetched = cluster.origin.counters.bytes_sent.load(Ordering::Relaxed);
     let name = ProfileName::try_from("assistant")?;
     let edit = ConfigEdit::ChangeProfile { name, spec: profile(&second)? };
     cluster.edit(revision, edit)?;
@@ -143,7 +143,7 @@
         retried: get(&counts.retried),
         wrong: get(&counts.wrong),
         lost: get(&counts.lost),
-        doubled: get(&counts.false_verdicts) + cluster.ledger.doubled() as u64,
+        doubled: get(&counts.false_verdicts) + cluster.ledger.duplicate_count() as u64,
         cut_off: get(&counts.cut_off),
     })
 }
@@ -178,7 +178,7 @@
 }
 
 fn copies_fetched(cluster: &LocalCluster, before: u64, bytes: usize) -> f64 {
-    let fetched = cluster.origin.counters.bytes.load(Ordering::Relaxed) - before;
+    let fetched = cluster.origin.counters.bytes_sent.load(Ordering::Relaxed) - before;
     fetched as f64 / bytes as f64
 }
 
--- a/tests/all/keyed_requests.rs
+++ b/tests/all/keyed_requests.rs
@@ -22,7 +22,7 @@
         threads.into_iter().map(|thread| thread.join().expect("no panic")).collect()
     });
     assert_eq!(outcomes, vec![CallOutcome::Answered, CallOutcome::Answered]);
-    assert_eq!(test.cluster.ledger.runs("seat-1"), 1);
+    assert_eq!(test.cluster.ledger.booking_count("seat-1"), 1);
 }
 
 /// An entry dies after it has forwarded a booking to the target. A retry with the same key through
@@ -45,14 +45,18 @@
         let cluster = &mut test.cluster;
         let ledger = cluster.ledger.clone();
         cluster
-            .wait_until("the booking to start", PATIENCE, || Ok(ledger.runs("seat-2") == 1))
+            .wait_until(
+                "the booking to start",
+                PATIENCE,
+                || Ok(ledger.booking_count("seat-2") == 1),
+            )
             .expect("started");
         cluster.kill_entry(0);
         // The caller retries with the key at the one address that it knows, that of the dead entry.
         lost.join().expect("no panic");
     });
     assert_eq!(test.book(&addresses[1], "seat-2"), CallOutcome::Answered);
-    assert_eq!(test.cluster.ledger.runs("seat-2"), 1);
+    assert_eq!(test.cluster.ledger.booking_count("seat-2"), 1);
 }
 
 /// The agent that ran a booking restarts and no longer has its response. A retry must not run the
@@ -68,7 +72,7 @@
     test.cluster
         .wait_until("the verdict that the booking may have run", PATIENCE, retry)
         .expect("told");
-    assert_eq!(test.cluster.ledger.runs("seat-3"), 1);
+    assert_eq!(test.cluster.ledger.booking_count("seat-3"), 1);
     let answered_new = || Ok(test.book(&addresses[1], "seat-4") == CallOutcome::Answered);
     test.cluster.wait_until("new bookings to run", PATIENCE, answered_new).expect("they run");
 }
@@ -90,7 +94,7 @@
         (response.status().as_u16(), report.verdict)
     });
     assert_eq!((status, verdict), (422, RequestVerdict::NotRun));
-    assert_eq!(test.cluster.ledger.runs("another"), 0);
+    assert_eq!(test.cluster.ledger.booking_count("another"), 0);
 }
 
 /// All control members are down for a while. An entry must not route by a configuration that may
@@ -110,7 +114,7 @@
         Ok(test.book(&address, &format!("dark-{}", counter.get())) == CallOutcome::NotRun)
     };
     test.cluster.wait_until("the lease to expire", PATIENCE, rejected).expect("rejected");
-    assert_eq!(test.cluster.ledger.runs(&format!("dark-{}", counter.get())), 0);
+    assert_eq!(test.cluster.ledger.booking_count(&format!("dark-{}", counter.get())), 0);
     for number in 0..3 {
         test.cluster.restart_control(number).expect("restarted");
     }
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -1,7 +1,7 @@
 //! The program as operators run it: processes of their own, killed, frozen, stopped and repaired.
 
 use crate::support::{KEY, PATIENCE, block_on};
-use egretseam_fakes::{FakePlain, PlainLedger};
+use egretseam_fakes::{BookingLedger, FakeBookingService};
 use egretseam_local::{CallOutcome, CallerClient, CallerCounts, SystemThread};
 use std::{
     fs,
@@ -25,7 +25,7 @@
     processes: Vec<Option<Child>>,
     operators: Vec<String>,
     callers: Vec<String>,
-    ledger: PlainLedger,
+    ledger: BookingLedger,
     _target: SystemThread,
 }
 
@@ -65,12 +65,12 @@
         fs::write(folder.path().join("peer.token"), "peer-token-0123456789").expect("written");
         fs::write(folder.path().join("op.token"), "operator-token-0123456789").expect("written");
         fs::write(folder.path().join("keys"), format!("{KEY}\n")).expect("written");
-        let ledger = PlainLedger::default();
+        let ledger = BookingLedger::default();
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let target_address = listener.local_addr().expect("an address").to_string();
         let service = ledger.clone();
         let target = SystemThread::spawn("plain", move || {
-            Ok(FakePlain::start(service, Duration::from_millis(20), listener)?)
+            Ok(FakeBookingService::start(service, Duration::from_millis(20), listener)?)
         });
         let target = target.expect("the service starts");
         let addresses: Vec<String> = (0..16).map(|_| free_address()).collect();
@@ -279,7 +279,7 @@
         (deployment.book(lost, "after") == CallOutcome::Answered).then_some(())
     });
     for id in ["first", "frozen", "after"] {
-        assert_eq!(deployment.ledger.runs(id), 1, "{id}");
+        assert_eq!(deployment.ledger.booking_count(id), 1, "{id}");
     }
 }
 
--- a/tests/all/streams.rs
+++ b/tests/all/streams.rs
@@ -15,7 +15,7 @@
 fn a_stream_continues_at_another_target_with_the_same_version() {
     let test = TestCluster::start(options(2, 0));
     let broken = test.cluster.agent("runner-0").expect("an agent");
-    broken.faults.break_after.store(5, Ordering::Relaxed);
+    broken.faults.break_after_tokens.store(5, Ordering::Relaxed);
     for number in 0..8 {
         let outcome = test.stream(&format!("prompt {number}"), 12, &[test.model.digest]);
         assert_eq!(outcome, CallOutcome::Answered);
@@ -31,7 +31,7 @@
     let mut test = TestCluster::start(options(6, 0));
     for number in 0..5 {
         let agent = test.cluster.agent(&format!("runner-{number}")).expect("an agent");
-        agent.faults.slowness.store(20, Ordering::Relaxed);
+        agent.faults.slowdown.store(20, Ordering::Relaxed);
     }
     let load = start_load(&test, vec![test.model.digest]);
     let begun = || Ok(load.counts().sent.load(Ordering::Relaxed) > 8);
@@ -52,7 +52,7 @@
 fn a_stream_without_its_last_event_is_never_complete() {
     let test = TestCluster::start(options(2, 0));
     for agent in test.cluster.agents() {
-        agent.faults.omit_done.store(true, Ordering::Relaxed);
+        agent.faults.omit_done_event.store(true, Ordering::Relaxed);
     }
     let outcome = test.stream("a prompt", 6, &[test.model.digest]);
     assert_eq!(outcome, CallOutcome::CutOff);
--- a/tests/all/weights.rs
+++ b/tests/all/weights.rs
@@ -134,14 +134,14 @@
 fn peers_serve_a_version_whose_origin_is_unreachable() {
     let mut test = TestCluster::start(options(3, 0));
     test.cluster.origin.faults.down.store(true, Ordering::Relaxed);
-    let origin_bytes = test.cluster.origin.counters.bytes.load(Ordering::Relaxed);
+    let origin_bytes = test.cluster.origin.counters.bytes_sent.load(Ordering::Relaxed);
     test.cluster.kill_agent("runner-2");
     test.cluster.kill_target("runner-2");
     fs::remove_dir_all(test.cluster.weights_folder("runner-2")).expect("removed");
     test.cluster.restart_target("runner-2").expect("restarted");
     test.cluster.restart_agent("runner-2").expect("restarted");
     test.wait_serving(test.model.manifest, 3);
-    assert_eq!(test.cluster.origin.counters.bytes.load(Ordering::Relaxed), origin_bytes);
+    assert_eq!(test.cluster.origin.counters.bytes_sent.load(Ordering::Relaxed), origin_bytes);
 }
 
 /// One in four ranges from the origin arrives corrupted. Every corrupted chunk is dropped and
@@ -157,7 +157,7 @@
     test.wait_serving(next.manifest, 2);
     assert_eq!(test.stream("a prompt", 6, &[next.digest]), CallOutcome::Answered);
     assert!(
-        test.cluster.origin.counters.ranges.load(Ordering::Relaxed) > 32,
+        test.cluster.origin.counters.range_requests.load(Ordering::Relaxed) > 32,
         "some were fetched again"
     );
 }
@@ -175,8 +175,9 @@
     let name = ProfileName::try_from("model").expect("a valid name");
     let edit = ConfigEdit::ChangeProfile { name: name.clone(), spec: model_profile(&second) };
     let revision = test.cluster.edit(test.revision, edit).expect("accepted");
-    let origin_bytes = test.cluster.origin.counters.bytes.load(Ordering::Relaxed);
-    let begun = || Ok(test.cluster.origin.counters.bytes.load(Ordering::Relaxed) > origin_bytes);
+    let origin_bytes = test.cluster.origin.counters.bytes_sent.load(Ordering::Relaxed);
+    let begun =
+        || Ok(test.cluster.origin.counters.bytes_sent.load(Ordering::Relaxed) > origin_bytes);
     test.cluster.wait_until("the transfer to begin", PATIENCE, begun).expect("begun");
     let edit = ConfigEdit::ChangeProfile { name, spec: model_profile(&third) };
     test.cluster.edit(revision, edit).expect("accepted");
@@ -266,6 +267,6 @@
     let store = OriginOptions { bytes_per_second: None, requests_per_second: Some(4) };
     let test = TestCluster::start(ClusterOptions { store: Some(store), ..options(2, 0) });
     let fake = test.cluster.store.as_ref().expect("a store");
-    assert!(fake.counters.bytes.load(Ordering::Relaxed) > 0, "the store is preferred");
+    assert!(fake.counters.bytes_sent.load(Ordering::Relaxed) > 0, "the store is preferred");
     assert_eq!(test.stream("a prompt", 6, &[test.model.digest]), CallOutcome::Answered);
 }
