--- a/crates/testkit/src/batch_engine.rs
+++ b/crates/testkit/src/batch_engine.rs
@@ -5,25 +5,25 @@
 
 /// How an engine works.
 #[derive(Clone, Copy, Debug)]
-pub struct EngineModel {
+pub struct EngineParams {
     /// Requests that write at the same time.
     pub slots: usize,
     /// One pass, in which every request that writes makes one event.
-    pub pass: Duration,
+    pub step_time: Duration,
     /// Reading one prompt, which lengthens the pass in which it is read.
-    pub read: Duration,
+    pub prefill_time: Duration,
     /// Events of an answer.
-    pub events: u32,
+    pub response_events: u32,
 }
 
-impl Default for EngineModel {
+impl Default for EngineParams {
     /// Sixteen slots, passes of six steps of about 7 ms, and a mean prompt and answer.
     fn default() -> Self {
         Self {
             slots: 16,
-            pass: Duration::from_millis(43),
-            read: Duration::from_millis(32),
-            events: 20,
+            step_time: Duration::from_millis(43),
+            prefill_time: Duration::from_millis(32),
+            response_events: 20,
         }
     }
 }
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
     /// Its first event was made.
-    Began(u64),
+    FirstEvent(u64),
     /// Its last event was made.
-    Ended(u64),
+    LastEvent(u64),
 }
 
 struct WritingRequest {
@@ -44,7 +44,7 @@
 
 /// One engine.
 pub struct BatchEngine {
-    model: EngineModel,
+    model: EngineParams,
     queue: VecDeque<u64>,
     /// Read in the present pass.
     reading: Vec<u64>,
@@ -55,7 +55,7 @@
 
 impl BatchEngine {
     /// An engine with nothing to do.
-    pub fn new(model: EngineModel, now: Instant) -> Self {
+    pub fn new(model: EngineParams, now: Instant) -> Self {
         Self {
             model,
             queue: VecDeque::new(),
@@ -67,7 +67,7 @@
     }
 
     /// A request arrives.
-    pub fn arrive(&mut self, id: u64, now: Instant) {
+    pub fn enqueue(&mut self, id: u64, now: Instant) {
         self.queue.push_back(id);
         if self.idle {
             self.begin_pass(now);
@@ -75,12 +75,12 @@
     }
 
     /// Requests that run or wait.
-    pub fn busy(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.queue.len() + self.reading.len() + self.writing.len()
     }
 
     /// Works up to `now`; returns what happened.
-    pub fn work(&mut self, now: Instant) -> Vec<EngineEvent> {
+    pub fn advance_to(&mut self, now: Instant) -> Vec<EngineEvent> {
         let mut events = Vec::new();
         while !self.idle && self.pass_ends <= now {
             self.end_pass(&mut events);
@@ -93,19 +93,19 @@
         let free = self.model.slots.saturating_sub(self.writing.len());
         self.reading = self.queue.drain(..free.min(self.queue.len())).collect();
         self.idle = self.reading.is_empty() && self.writing.is_empty();
-        let reading = self.model.read * self.reading.len() as u32;
-        self.pass_ends = now + self.model.pass + reading;
+        let reading = self.model.prefill_time * self.reading.len() as u32;
+        self.pass_ends = now + self.model.step_time + reading;
     }
 
     fn end_pass(&mut self, events: &mut Vec<EngineEvent>) {
         for id in self.reading.drain(..) {
-            events.push(EngineEvent::Began(id));
-            self.writing.push(WritingRequest { id, left: self.model.events });
+            events.push(EngineEvent::FirstEvent(id));
+            self.writing.push(WritingRequest { id, left: self.model.response_events });
         }
         for request in &mut self.writing {
             request.left -= 1;
             if request.left == 0 {
-                events.push(EngineEvent::Ended(request.id));
+                events.push(EngineEvent::LastEvent(request.id));
             }
         }
         self.writing.retain(|request| request.left > 0);
--- a/crates/testkit/src/group.rs
+++ b/crates/testkit/src/group.rs
@@ -2,7 +2,7 @@
 
 mod network;
 
-use crate::ledger::AcceptedLedger;
+use crate::safety_checker::SafetyChecker;
 use egretseam_catalog::{CatalogCommand, CatalogReply, CatalogState, TimestampedCommand};
 use egretseam_replica::{
     EntryPayload, Envelope, GroupId, HardState, LogEntry, LogIndex, LogWrite, MemberId,
@@ -18,7 +18,7 @@
     /// Committed and applied.
     Applied(CatalogReply),
     /// Certainly not accepted.
-    Refused(ProposeError),
+    Rejected(ProposeError),
     /// Replaced by another leader's entry: certainly not accepted.
     Replaced,
     /// No answer yet.
@@ -47,7 +47,7 @@
     cuts: IndexSet<(usize, usize)>,
     replies: Vec<SimReply>,
     reads: IndexMap<u64, (LogIndex, Option<Option<LogIndex>>)>,
-    ledger: AcceptedLedger,
+    safety_checker: SafetyChecker,
     log_millis: u64,
 }
 
@@ -71,7 +71,7 @@
             cuts: IndexSet::new(),
             replies: Vec::new(),
             reads: IndexMap::new(),
-            ledger: AcceptedLedger::default(),
+            safety_checker: SafetyChecker::default(),
             log_millis: 0,
         };
         for number in 0..voters {
@@ -108,7 +108,7 @@
     }
 
     /// Adds a member with an empty disk that waits to be added; returns its number.
-    pub fn add_blank(&mut self) -> usize {
+    pub fn add_empty_member(&mut self) -> usize {
         let number = self.members.len();
         self.push_member(number, None, RecoveredState::default());
         number
@@ -130,8 +130,8 @@
     }
 
     /// What was accepted so far.
-    pub fn ledger(&self) -> &AcceptedLedger {
-        &self.ledger
+    pub fn safety_checker(&self) -> &SafetyChecker {
+        &self.safety_checker
     }
 
     /// A member's catalog.
@@ -168,7 +168,7 @@
         member.pending.clear();
     }
 
-    /// Starts a crashed member from what its disk holds.
+    /// Starts a crashed member from what its disk queues_during_outage.
     pub fn restart(&mut self, number: usize) {
         let config = self.config;
         let member = &mut self.members[number];
@@ -184,7 +184,7 @@
     }
 
     /// Loses a member's disk with the member; its number stays unused from then on.
-    pub fn lose_disk(&mut self, number: usize) {
+    pub fn crash_and_erase_disk(&mut self, number: usize) {
         self.crash(number);
         self.members[number].disk = RecoveredState::default();
     }
@@ -200,7 +200,7 @@
     }
 
     /// Silently drops everything between two members from now on, in both directions.
-    pub fn cut(&mut self, a: usize, b: usize) {
+    pub fn cut_link(&mut self, a: usize, b: usize) {
         self.cuts.insert((a, b));
         self.cuts.insert((b, a));
     }
@@ -209,7 +209,7 @@
     pub fn isolate(&mut self, number: usize) {
         for other in 0..self.members.len() {
             if other != number {
-                self.cut(number, other);
+                self.cut_link(number, other);
             }
         }
     }
@@ -225,7 +225,7 @@
         self.log_millis += step.as_millis() as u64;
         for number in 0..self.members.len() {
             if !self.members[number].frozen {
-                self.work(number, false);
+                self.run_member(number, false);
             }
         }
     }
@@ -249,7 +249,7 @@
     ///
     /// # Panics
     /// Panics if nobody does within a simulated minute.
-    pub fn run_until_led(&mut self) -> usize {
+    pub fn run_until_leader(&mut self) -> usize {
         for _ in 0..6_000 {
             self.run(Duration::from_millis(10));
             let live = self.leader().filter(|number| !self.members[*number].frozen);
@@ -263,7 +263,7 @@
     }
 
     /// Runs until somebody leads, at most for `limit`.
-    pub fn run_until_led_or(&mut self, limit: Duration) {
+    pub fn run_until_leader_or_timeout(&mut self, limit: Duration) {
         let end = self.now + limit;
         while self.now < end && self.leader().is_none() {
             self.run(Duration::from_millis(50));
@@ -283,10 +283,10 @@
             Ok((term, index)) => {
                 member.pending.insert(index, (term, token));
             }
-            Err(error) => self.replies[token] = SimReply::Refused(error),
+            Err(error) => self.replies[token] = SimReply::Rejected(error),
         }
         if !self.members[number].frozen {
-            self.work(number, false);
+            self.run_member(number, false);
         }
         token
     }
@@ -296,7 +296,7 @@
         self.freeze(number);
         let token = self.submit(number, command);
         self.thaw(number);
-        self.work(number, true);
+        self.run_member(number, true);
         token
     }
 
@@ -317,17 +317,17 @@
         let node = self.members[number].node.as_mut();
         let node = node.ok_or(ProposeError::NotLeader { leader: None })?;
         node.change_membership(change)?;
-        self.work(number, false);
+        self.run_member(number, false);
         Ok(())
     }
 
     /// Begins a confirmed read at a member.
     pub fn read(&mut self, number: usize, token: u64) {
-        let accepted = self.ledger.last_committed();
+        let accepted = self.safety_checker.last_committed();
         self.reads.insert(token, (accepted, None));
         if let Some(node) = self.members[number].node.as_mut() {
             node.read(ReadToken(token));
-            self.work(number, false);
+            self.run_member(number, false);
         }
     }
 
@@ -343,7 +343,7 @@
         let applied = member.applied;
         if let Some(node) = member.node.as_mut() {
             node.compact(applied, data);
-            self.work(number, false);
+            self.run_member(number, false);
         }
     }
 
@@ -359,7 +359,7 @@
 
     /// Lets a member take in what waits and carry out what follows. With `crash`, it goes down
     /// after its messages left that need no sync, and before anything was synced.
-    pub fn work(&mut self, number: usize, crash: bool) {
+    pub fn run_member(&mut self, number: usize, crash: bool) {
         let now = self.now;
         let Some(node) = self.members[number].node.as_mut() else { return };
         node.tick(now);
@@ -381,7 +381,7 @@
             }
             self.carry_out(number, output);
         }
-        self.note_leader(number);
+        self.record_leader(number);
     }
 
     fn carry_out(&mut self, number: usize, output: ReplicaOutput) {
@@ -412,7 +412,7 @@
     }
 
     fn apply(&mut self, number: usize, entry: &LogEntry) {
-        self.ledger.note_committed(entry);
+        self.safety_checker.record_committed(entry);
         let member = &mut self.members[number];
         assert_eq!(entry.index, member.applied.next(), "entries are handed out in order");
         member.applied = entry.index;
@@ -423,7 +423,7 @@
             let before = member.catalog.view().revision;
             reply = Some(member.catalog.apply(&stamped));
             assert!(member.catalog.view().revision >= before, "a revision went back");
-            self.ledger.note_state(entry.index, member.catalog.encode());
+            self.safety_checker.record_state(entry.index, member.catalog.encode());
         }
         if let Some((term, token)) = member.pending.shift_remove(&entry.index) {
             self.replies[token] = match reply {
@@ -433,10 +433,10 @@
         }
     }
 
-    fn note_leader(&mut self, number: usize) {
+    fn record_leader(&mut self, number: usize) {
         let member = &self.members[number];
         let Some(node) = member.node.as_ref().filter(|node| node.is_leader()) else { return };
-        self.ledger.note_leader(node.status().term, member.identity.id);
+        self.safety_checker.record_leader(node.status().term, member.identity.id);
     }
 }
 
--- a/crates/testkit/src/group/network.rs
+++ b/crates/testkit/src/group/network.rs
@@ -27,7 +27,7 @@
         self.freeze(to);
         self.deliver(at);
         self.thaw(to);
-        self.work(to, true);
+        self.run_member(to, true);
     }
 
     /// Delivers every message under way that fits. With `crash`, the addressee of the first goes
@@ -59,7 +59,7 @@
     }
 
     /// Loses every message under way.
-    pub fn lose_all(&mut self) {
+    pub fn drop_all_messages(&mut self) {
         self.network.clear();
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Loses the message at `at`.
-    pub fn lose(&mut self, at: usize) {
+    pub fn drop_message(&mut self, at: usize) {
         if at < self.network.len() {
             self.network.remove(at);
         }
@@ -97,7 +97,7 @@
         if member.node.is_some() {
             member.inbox.push(envelope);
             if !member.frozen {
-                self.work(numbers.1, false);
+                self.run_member(numbers.1, false);
             }
         }
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -5,12 +5,12 @@
 
 mod batch_engine;
 mod group;
-mod ledger;
+mod safety_checker;
 mod service_load;
 
 pub use crate::{
-    batch_engine::{BatchEngine, EngineEvent, EngineModel},
+    batch_engine::{BatchEngine, EngineEvent, EngineParams},
     group::{GroupSim, SimReply},
-    ledger::AcceptedLedger,
-    service_load::{LoadResult, LoadScript, play_load},
+    safety_checker::SafetyChecker,
+    service_load::{LoadResult, LoadScript, simulate_load},
 };
--- a/crates/testkit/src/ledger.rs
+++ b/crates/testkit/src/safety_checker.rs
@@ -5,18 +5,18 @@
 
 /// All entries handed out as committed and all leaders seen.
 #[derive(Debug, Default)]
-pub struct AcceptedLedger {
+pub struct SafetyChecker {
     entries: IndexMap<LogIndex, LogEntry>,
     leaders: IndexMap<Term, MemberId>,
     states: IndexMap<LogIndex, Vec<u8>>,
 }
 
-impl AcceptedLedger {
+impl SafetyChecker {
     /// Notes a committed entry.
     ///
     /// # Panics
     /// Panics if another member was given a different entry at the same index.
-    pub fn note_committed(&mut self, entry: &LogEntry) {
+    pub fn record_committed(&mut self, entry: &LogEntry) {
         let known = self.entries.entry(entry.index).or_insert_with(|| entry.clone());
         assert_eq!(known, entry, "two members were given different entries at {}", entry.index);
     }
@@ -25,7 +25,7 @@
     ///
     /// # Panics
     /// Panics if another member led in the same term.
-    pub fn note_leader(&mut self, term: Term, id: MemberId) {
+    pub fn record_leader(&mut self, term: Term, id: MemberId) {
         let known = *self.leaders.entry(term).or_insert(id);
         assert_eq!(known, id, "two leaders in term {term}");
     }
@@ -34,7 +34,7 @@
     ///
     /// # Panics
     /// Panics if another member's differs.
-    pub fn note_state(&mut self, index: LogIndex, state: Vec<u8>) {
+    pub fn record_state(&mut self, index: LogIndex, state: Vec<u8>) {
         let known = self.states.entry(index).or_insert_with(|| state.clone());
         assert_eq!(*known, state, "two members hold different states at {index}");
     }
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -1,7 +1,7 @@
 //! A service of several engines under load from several entries, each with its own view: the real
 //! tables and queues of entries, modelled engines, and reports that lag.
 
-use crate::batch_engine::{BatchEngine, EngineEvent, EngineModel};
+use crate::batch_engine::{BatchEngine, EngineEvent, EngineParams};
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
 use egretseam_serving::{
     AttemptOutcome, EngineStatus, HeldModel, Incarnation, PlacementOutcome, PlacementPolicy,
@@ -27,40 +27,40 @@
     /// Engines.
     pub engines: usize,
     /// Requests a second.
-    pub rate: f64,
+    pub requests_per_second: f64,
     /// For how long.
-    pub length: Duration,
+    pub duration: Duration,
     /// Times as many requests, from this moment to that one.
     pub burst: (f64, Duration, Duration),
     /// From this moment to that one no engine takes anything, and all say so.
     pub outage: Option<(Duration, Duration)>,
     /// Whether requests are held while no engine takes anything.
-    pub holds: bool,
+    pub queues_during_outage: bool,
     /// Time to the first event within which an answer is in time.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// Whether those who come back wait behind new ones.
-    pub late_behind: bool,
+    pub late_requests_last: bool,
     /// Whether entries know of each other.
-    pub aware: bool,
+    pub knows_entry_count: bool,
     /// Choice of targets.
     pub placement: PlacementPolicy,
     /// Waiting.
     pub waiting: WaitPolicy,
     /// Engines.
-    pub engine: EngineModel,
+    pub engine: EngineParams,
 }
 
 /// What came of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadResult {
     /// Requests.
-    pub asked: u32,
+    pub requests: u32,
     /// Answers whose first event came in time.
     pub in_time: u32,
     /// Answers that began later.
     pub late: u32,
     /// Requests rejected for the second time; each caller comes back once.
-    pub refused: u32,
+    pub rejected: u32,
 }
 
 struct LoadEntry {
@@ -97,14 +97,14 @@
 ///
 /// # Panics
 /// Panics if the tables name a target that does not exist.
-pub fn play_load(script: &LoadScript) -> LoadResult {
+pub fn simulate_load(script: &LoadScript) -> LoadResult {
     let start = Instant::now();
     let mut load = ServiceLoad::new(*script, start);
     let mut now = start;
     let mut owed = 0.0;
     let mut number = 0;
     let mut report_due = start;
-    while now < start + script.length {
+    while now < start + script.duration {
         now += STEP;
         load.work(now);
         load.begin_or_end_outage(now - start, now);
@@ -115,12 +115,12 @@
         load.hear(now);
         let (times, from, to) = script.burst;
         let in_burst = (from..to).contains(&(now - start));
-        let rate = script.rate * if in_burst { times } else { 1.0 };
+        let rate = script.requests_per_second * if in_burst { times } else { 1.0 };
         owed += rate * STEP.as_secs_f64() * rand::random_range(0.0..2.0);
         while owed >= 1.0 {
             owed -= 1.0;
             number += 1;
-            load.result.asked += 1;
+            load.result.requests += 1;
             load.due.insert(number, now);
             load.arrive(number, now);
         }
@@ -138,7 +138,7 @@
         let zone = ZoneName::try_from("z1").expect(name);
         let entry = |_| {
             let mut table = TargetTable::new(script.placement, zone.clone());
-            if script.aware {
+            if script.knows_entry_count {
                 table.set_entry_count(script.entries);
             }
             for number in 0..script.engines {
@@ -165,10 +165,10 @@
 
     fn work(&mut self, now: Instant) {
         for engine in 0..self.engines.len() {
-            for event in self.engines[engine].work(now) {
+            for event in self.engines[engine].advance_to(now) {
                 match event {
-                    EngineEvent::Began(id) => self.began(id, now),
-                    EngineEvent::Ended(id) => self.ended(id, now),
+                    EngineEvent::FirstEvent(id) => self.began(id, now),
+                    EngineEvent::LastEvent(id) => self.ended(id, now),
                 }
             }
         }
@@ -178,7 +178,7 @@
         let Some(placed) = self.placed.get(&id) else { return };
         let table = &mut self.entries[placed.entry].table;
         table.record_first_byte(&target_id(placed.target), placed.sent, now);
-        if now - placed.due <= self.script.objective {
+        if now - placed.due <= self.script.latency_objective {
             self.result.in_time += 1;
         } else {
             self.result.late += 1;
@@ -215,7 +215,7 @@
     }
 
     fn report(&mut self, now: Instant) {
-        let busy = self.engines.iter().map(|engine| engine.busy() as u32).collect();
+        let busy = self.engines.iter().map(|engine| engine.request_count() as u32).collect();
         self.reports.push_back((now + REPORT_AGE, busy));
     }
 
@@ -240,8 +240,8 @@
         }
         let usual = self.entries[at].table.median_first_byte(&self.service, now);
         let trying_for = self.due.get(&id).map_or(Duration::ZERO, |due| now - *due);
-        let known = if self.script.late_behind { trying_for } else { Duration::ZERO };
-        let claim = WaitUrgency::new(1, self.script.objective, known);
+        let known = if self.script.late_requests_last { trying_for } else { Duration::ZERO };
+        let claim = WaitUrgency::new(1, self.script.latency_objective, known);
         let queue = &mut self.entries[at].queue;
         let give_up_at = now + queue.wait_limit(&claim, usual);
         if queue.push(&claim, give_up_at, id, now).is_err() {
@@ -250,10 +250,12 @@
     }
 
     fn hold_or_refuse(&mut self, at: usize, id: u64, now: Instant) {
-        let claim = WaitUrgency::new(1, self.script.objective, Duration::ZERO).for_outage();
+        let claim = WaitUrgency::new(1, self.script.latency_objective, Duration::ZERO).for_outage();
         let queue = &mut self.entries[at].queue;
         let give_up_at = now + queue.outage_limit();
-        if !self.script.holds || queue.push_without_prediction(&claim, give_up_at, id).is_err() {
+        if !self.script.queues_during_outage
+            || queue.push_without_prediction(&claim, give_up_at, id).is_err()
+        {
             self.refuse(at, id, now);
         }
     }
@@ -264,7 +266,7 @@
             let after = self.entries[at].queue.retry_after(rand::random());
             self.returning.push((now + after, id));
         } else {
-            self.result.refused += 1;
+            self.result.rejected += 1;
         }
     }
 
@@ -294,11 +296,11 @@
     }
 
     fn is_late(&self, id: u64, now: Instant) -> bool {
-        self.due.get(&id).is_some_and(|due| now - *due >= self.script.objective)
+        self.due.get(&id).is_some_and(|due| now - *due >= self.script.latency_objective)
     }
 
     fn place(&mut self, at: usize, id: u64, now: Instant) -> bool {
-        let late = self.script.late_behind && self.is_late(id, now);
+        let late = self.script.late_requests_last && self.is_late(id, now);
         let need = PlacementQuery {
             service: &self.service,
             model: Some(&self.model),
@@ -318,7 +320,7 @@
             queue.record_placed(now)
         }
         let number: usize = target.name.parse().expect("targets are named by number");
-        self.engines[number].arrive(id, now);
+        self.engines[number].enqueue(id, now);
         let due = self.due.swap_remove(&id).unwrap_or(now);
         self.placed.insert(id, PlacedRequest { due, sent: now, entry: at, target: number });
         true
--- a/tests/all/group_faults.rs
+++ b/tests/all/group_faults.rs
@@ -36,8 +36,8 @@
     sim.deliver_where(|from, to, message| from == 2 && to == 1 && is_vote(message), false);
     sim.deliver_where(|_, to, message| to == 0 && is_vote_reply(message), false);
     sim.deliver_where(|_, to, message| to == 2 && is_vote_reply(message), false);
-    // The ledger panics if a term has two leaders. Only the candidate that got the synced vote
-    // leads.
+    // The safety checker panics if a term has two leaders. Only the candidate that got the synced
+    // vote leads.
     assert_eq!(sim.leaders().len(), 1);
     assert_eq!(sim.leader(), Some(2));
 }
@@ -53,13 +53,13 @@
     let mut sim = GroupSim::new(3, config);
     // Member 0 leads; its first entries reach no other member.
     elect(&mut sim, 0, 1);
-    sim.lose_all();
+    sim.drop_all_messages();
     let first = sim.submit(0, organisation_edit(1));
-    sim.lose_all();
+    sim.drop_all_messages();
     // Member 2 is elected by member 1, whose log is no longer than its own. Its first entry reaches
     // no other member.
     elect(&mut sim, 2, 1);
-    sim.lose_all();
+    sim.drop_all_messages();
     // Member 0 learns from a reply of member 1 that it was deposed.
     sim.tick(Duration::from_millis(250));
     sim.deliver_where(|from, to, m| from == 0 && to == 1 && is_append(m), false);
@@ -84,7 +84,7 @@
         "member 1 has the old entries"
     );
     sim.deliver_where(|from, to, m| from == 1 && to == 0 && is_append_reply(m), false);
-    sim.lose_all();
+    sim.drop_all_messages();
     assert_eq!(
         *sim.reply(first),
         SimReply::Pending,
@@ -126,7 +126,7 @@
 #[test]
 fn a_leader_isolated_for_minutes_commits_nothing() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let old_leader = sim.run_until_led();
+    let old_leader = sim.run_until_leader();
     sim.isolate(old_leader);
     let isolated_tokens: Vec<usize> =
         (0..20).map(|number| sim.submit(old_leader, organisation_edit(number))).collect();
@@ -160,10 +160,10 @@
 #[test]
 fn the_group_survives_a_second_loss_right_after_a_repair() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let leader = sim.run_until_led();
+    let leader = sim.run_until_leader();
     let others: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
-    sim.lose_disk(others[0]);
-    let replacement = sim.add_blank();
+    sim.crash_and_erase_disk(others[0]);
+    let replacement = sim.add_empty_member();
     let steps = [
         MembershipChange::AddLearner(sim.record(replacement)),
         MembershipChange::Remove(sim.id(others[0])),
@@ -184,9 +184,9 @@
 #[test]
 fn a_second_loss_during_a_repair_stops_the_group_and_does_not_split_it() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let leader = sim.run_until_led();
+    let leader = sim.run_until_leader();
     let others: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
-    sim.lose_disk(others[0]);
+    sim.crash_and_erase_disk(others[0]);
     let removal = MembershipChange::Remove(sim.id(others[0]));
     sim.change_members(leader, &removal).expect("the leader accepts the change");
     sim.run(Duration::from_secs(1));
@@ -196,7 +196,7 @@
     assert_eq!(*sim.reply(token), SimReply::Pending);
     assert!(sim.leaders().is_empty(), "no member leads without a quorum");
     sim.restart(others[1]);
-    sim.run_until_led();
+    sim.run_until_leader();
 }
 
 /// A member whose disk was replaced by an empty one starts under a new id and must not vote: with
@@ -204,21 +204,21 @@
 #[test]
 fn a_member_with_an_empty_disk_does_not_vote_in_place_of_its_old_id() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let leader = sim.run_until_led();
+    let leader = sim.run_until_leader();
     let others: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
     // Committed by the leader and one other member; the third never receives it.
     sim.isolate(others[1]);
     let token = sim.submit(leader, organisation_edit(1));
     sim.run(Duration::from_secs(1));
     assert!(matches!(sim.reply(token), SimReply::Applied(_)));
-    sim.lose_disk(others[0]);
+    sim.crash_and_erase_disk(others[0]);
     sim.crash(leader);
-    sim.add_blank();
+    sim.add_empty_member();
     sim.heal();
     sim.run(Duration::from_secs(10));
     assert!(sim.leaders().is_empty(), "the third member and one with an empty disk are no quorum");
     sim.restart(leader);
-    let new_leader = sim.run_until_led();
+    let new_leader = sim.run_until_leader();
     sim.run(Duration::from_secs(1));
     let name = OrganisationName::try_from("org-1").expect("a valid name");
     assert!(sim.catalog(new_leader).view().organisations.contains_key(&name));
@@ -229,7 +229,7 @@
 #[test]
 fn a_removed_member_that_returns_is_rejected() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let leader = sim.run_until_led();
+    let leader = sim.run_until_leader();
     let removed = (0..3).find(|number| *number != leader).expect("another member");
     sim.crash(removed);
     sim.change_members(leader, &MembershipChange::Remove(sim.id(removed)))
@@ -249,11 +249,11 @@
 #[test]
 fn a_leader_that_crashes_while_it_removes_itself_does_not_block_the_group() {
     let mut sim = GroupSim::new(2, ReplicaConfig::default());
-    let leader = sim.run_until_led();
+    let leader = sim.run_until_leader();
     sim.run(Duration::from_secs(1));
     let removal = MembershipChange::Remove(sim.id(leader));
     sim.change_members(leader, &removal).expect("the leader accepts the change");
-    sim.lose_all();
+    sim.drop_all_messages();
     sim.crash(leader);
     sim.restart(leader);
     sim.run(Duration::from_secs(20));
@@ -266,8 +266,8 @@
 #[test]
 fn a_learner_that_never_replied_cannot_be_promoted() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let leader = sim.run_until_led();
-    let learner = sim.add_blank();
+    let leader = sim.run_until_leader();
+    let learner = sim.add_empty_member();
     sim.isolate(learner);
     let add = MembershipChange::AddLearner(sim.record(learner));
     sim.change_members(leader, &add).expect("the leader accepts the change");
@@ -285,7 +285,7 @@
 fn an_interrupted_snapshot_transfer_is_completed_later() {
     let config = ReplicaConfig { snapshot_piece_bytes: 64, ..ReplicaConfig::default() };
     let mut sim = GroupSim::new(3, config);
-    let leader = sim.run_until_led();
+    let leader = sim.run_until_leader();
     let lagging = (0..3).find(|number| *number != leader).expect("another member");
     sim.crash(lagging);
     for number in 0..50 {
@@ -311,7 +311,7 @@
 #[test]
 fn a_restart_of_all_members_keeps_the_complete_configuration() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let leader = sim.run_until_led();
+    let leader = sim.run_until_leader();
     for number in 0..400 {
         sim.submit(leader, organisation_edit(number));
         if number == 250 {
@@ -328,7 +328,7 @@
     for number in 0..3 {
         sim.restart(number);
     }
-    sim.run_until_led();
+    sim.run_until_leader();
     sim.run(Duration::from_secs(1));
     for number in 0..3 {
         assert_eq!(*sim.catalog(number).view(), before);
@@ -341,7 +341,7 @@
 #[test]
 fn followers_learn_the_commit_index_before_the_next_heartbeat() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let leader = sim.run_until_led();
+    let leader = sim.run_until_leader();
     sim.run(Duration::from_secs(1));
     for number in 1..=8 {
         sim.submit(leader, organisation_edit(number));
@@ -362,7 +362,7 @@
 #[test]
 fn committed_changes_are_applied_before_a_leader_is_elected() {
     let mut sim = GroupSim::new(3, ReplicaConfig::default());
-    let leader = sim.run_until_led();
+    let leader = sim.run_until_leader();
     let token = sim.submit(leader, organisation_edit(1));
     sim.run(Duration::from_millis(200));
     assert!(matches!(sim.reply(token), SimReply::Applied(_)), "{:?}", sim.reply(token));
--- a/tests/all/group_model.rs
+++ b/tests/all/group_model.rs
@@ -167,7 +167,7 @@
             GroupEvent::Deliver(at) => sim.deliver(at),
             GroupEvent::DeliverAndCrash(at) => sim.deliver_and_crash(at),
             GroupEvent::Duplicate(at) => sim.duplicate(at),
-            GroupEvent::Lose(at) => sim.lose(at),
+            GroupEvent::Lose(at) => sim.drop_message(at),
             GroupEvent::Tick(millis) => sim.tick(Duration::from_millis(millis)),
             GroupEvent::Run(millis) => sim.run(Duration::from_millis(millis)),
             GroupEvent::Submit(at, number) => {
@@ -186,7 +186,7 @@
                     test.submitted.push((token, number));
                 }
             }
-            GroupEvent::RunUntilLed => sim.run_until_led_or(Duration::from_secs(4)),
+            GroupEvent::RunUntilLed => sim.run_until_leader_or_timeout(Duration::from_secs(4)),
             GroupEvent::CrashLeader(at) => {
                 if let Some(leader) = nth_leader(sim, at) {
                     sim.crash(leader);
@@ -197,14 +197,14 @@
                     sim.isolate(leader);
                 }
             }
-            GroupEvent::Cut(a, b) => sim.cut(a, b),
+            GroupEvent::Cut(a, b) => sim.cut_link(a, b),
             GroupEvent::Campaign(at) => sim.campaign(at),
             GroupEvent::Crash(at) => sim.crash(at),
             GroupEvent::Restart(at) => sim.restart(at),
             GroupEvent::Freeze(at) => sim.freeze(at),
             GroupEvent::Thaw(at) => {
                 sim.thaw(at);
-                sim.work(at, false);
+                sim.run_member(at, false);
             }
             GroupEvent::Isolate(at) => sim.isolate(at),
             GroupEvent::Heal => sim.heal(),
@@ -214,7 +214,7 @@
                 sim.read(at, test.reads);
             }
             GroupEvent::AddBlank => {
-                sim.add_blank();
+                sim.add_empty_member();
             }
             GroupEvent::AddLearner(at) => {
                 change(sim, &MembershipChange::AddLearner(sim.record(at)))
@@ -235,7 +235,7 @@
             sim.thaw(number);
             sim.restart(number);
         }
-        let leader = sim.run_until_led();
+        let leader = sim.run_until_leader();
         sim.run(Duration::from_secs(5));
         let leader = sim.leader().unwrap_or(leader);
         test.collect_replies();
--- a/tests/all/scenarios/group_script.rs
+++ b/tests/all/scenarios/group_script.rs
@@ -164,7 +164,7 @@
             "group" => {
                 let size = number(command, "members")? as usize;
                 self.sim = Some(GroupSim::new(size, script_config()));
-                self.sim()?.run_until_led();
+                self.sim()?.run_until_leader();
                 self.sim()?.run(Duration::from_secs(1));
             }
             "run" => {
@@ -182,10 +182,10 @@
             }
             "lose-disk" => {
                 let at = self.member_at(command)?;
-                self.sim()?.lose_disk(at);
+                self.sim()?.crash_and_erase_disk(at);
             }
             "blank" => {
-                let number = self.sim()?.add_blank();
+                let number = self.sim()?.add_empty_member();
                 return Ok(format!("member {number} waits to be added\n"));
             }
             "restart" => {
@@ -196,7 +196,7 @@
                 let sim = self.sim()?;
                 (0..sim.len()).for_each(|number| sim.crash(number));
                 (0..sim.len()).for_each(|number| sim.restart(number));
-                sim.run_until_led();
+                sim.run_until_leader();
                 sim.run(Duration::from_secs(1));
             }
             "compact" => {
@@ -293,7 +293,7 @@
 fn format_reply(reply: &SimReply) -> String {
     match reply {
         SimReply::Applied(reply) => format!("{reply:?}"),
-        SimReply::Refused(error) => format!("refused: {error}"),
+        SimReply::Rejected(error) => format!("refused: {error}"),
         SimReply::Replaced => "replaced: certainly not accepted".to_owned(),
         SimReply::Pending => "no answer".to_owned(),
     }
--- a/tests/all/waiting.rs
+++ b/tests/all/waiting.rs
@@ -4,7 +4,7 @@
 use egretseam_serving::{
     PlacementPolicy, RetryBudget, RetryDetector, RetryPolicy, WaitPolicy, WaitQueue, WaitUrgency,
 };
-use egretseam_testkit::{EngineModel, LoadResult, LoadScript, play_load};
+use egretseam_testkit::{EngineParams, LoadResult, LoadScript, simulate_load};
 use proptest::prelude::*;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -110,17 +110,17 @@
         entries: 9,
         engines: 20,
         // A twentieth more than the engines can answer, at 11.9 requests a second each.
-        rate: 250.0,
-        length: Duration::from_secs(12),
+        requests_per_second: 250.0,
+        duration: Duration::from_secs(12),
         burst: (1.0, Duration::ZERO, Duration::ZERO),
         outage: None,
-        holds: true,
-        objective: OBJECTIVE,
-        late_behind: true,
-        aware: true,
+        queues_during_outage: true,
+        latency_objective: OBJECTIVE,
+        late_requests_last: true,
+        knows_entry_count: true,
         placement: PlacementPolicy::default(),
         waiting: WaitPolicy::default(),
-        engine: EngineModel::default(),
+        engine: EngineParams::default(),
     }
 }
 
@@ -130,10 +130,11 @@
 /// be recalled.
 #[actix_rt::test]
 async fn entries_share_free_slots_in_a_full_service() {
-    let blind = play_load(&LoadScript { aware: false, ..full_service() });
-    let aware = play_load(&full_service());
+    let blind = simulate_load(&LoadScript { knows_entry_count: false, ..full_service() });
+    let aware = simulate_load(&full_service());
     let share = |count: u32, of: u32| f64::from(count) / f64::from(of);
-    let (before, after) = (share(blind.in_time, blind.asked), share(aware.in_time, aware.asked));
+    let (before, after) =
+        (share(blind.in_time, blind.requests), share(aware.in_time, aware.requests));
     assert!(after > before + 0.2, "share in time: {after:.3}, without sharing {before:.3}");
     assert!(after > 0.65, "share in time: {after:.3}");
 }
@@ -251,17 +252,17 @@
 #[actix_rt::test]
 async fn retries_wait_behind_new_requests() {
     let burst = LoadScript {
-        rate: 200.0,
+        requests_per_second: 200.0,
         burst: (1.7, Duration::from_secs(3), Duration::from_secs(7)),
         ..full_service()
     };
     // Three plays each, since targets are drawn at random.
     let in_time = |script: &LoadScript| {
-        let plays = [(); 3].map(|()| play_load(script));
+        let plays = [(); 3].map(|()| simulate_load(script));
         let sum = |count: fn(&LoadResult) -> u32| plays.iter().map(count).sum::<u32>();
-        f64::from(sum(|play| play.in_time)) / f64::from(sum(|play| play.asked))
+        f64::from(sum(|play| play.in_time)) / f64::from(sum(|play| play.requests))
     };
-    let mixed = in_time(&LoadScript { late_behind: false, ..burst });
+    let mixed = in_time(&LoadScript { late_requests_last: false, ..burst });
     let behind = in_time(&burst);
     assert!(
         behind > mixed,
@@ -297,21 +298,21 @@
 #[actix_rt::test]
 async fn a_short_outage_loses_few_requests_and_little_time() {
     let outage = LoadScript {
-        rate: 200.0,
+        requests_per_second: 200.0,
         outage: Some((Duration::from_secs(4), Duration::from_millis(5_200))),
         ..full_service()
     };
     // Targets and retry delays are drawn at random; several plays even that out.
     let totals = |script: &LoadScript| {
-        let plays = [(); 9].map(|()| play_load(script));
+        let plays = [(); 9].map(|()| simulate_load(script));
         let sum = |count: fn(&LoadResult) -> u32| plays.iter().map(count).sum::<u32>();
-        let asked = f64::from(sum(|play| play.asked));
+        let asked = f64::from(sum(|play| play.requests));
         let share = |count| f64::from(sum(count)) / asked;
-        (share(|play| play.in_time), share(|play| play.late), share(|play| play.refused))
+        (share(|play| play.in_time), share(|play| play.late), share(|play| play.rejected))
     };
     // Without queueing in an outage: requests are rejected at once, and retries after 50 ms.
     let waiting = WaitPolicy { late_limit: Duration::from_millis(50), ..WaitPolicy::default() };
-    let without_queueing = LoadScript { holds: false, waiting, ..outage };
+    let without_queueing = LoadScript { queues_during_outage: false, waiting, ..outage };
     let (rejected, queued) = (totals(&without_queueing), totals(&outage));
     assert!(
         queued.2 < rejected.2 / 2.0,
