--- a/tests/all/bad_input.rs
+++ b/tests/all/bad_input.rs
@@ -1,6 +1,6 @@
 //! Error responses to invalid requests of callers and operators.
 
-use crate::support::{KEY, TestCluster, block_on, options};
+use crate::support::{API_KEY, TestCluster, block_on, cluster_options};
 use egretseam_http::{ClientOptions, http_client, reported_failure};
 use egretseam_proto::RequestVerdict;
 
@@ -37,15 +37,15 @@
 
 #[test]
 fn callers_receive_the_reason_of_a_rejection() {
-    let test = TestCluster::start(options(1, 0));
+    let test = TestCluster::start(cluster_options(1, 0));
     let base = format!("http://{}", test.cluster.caller_addresses()[0]);
     let completions = format!("{base}/v1/completions");
     let cases: Vec<InvalidRequest<'_>> = vec![
-        ("POST", completions.clone(), Some(KEY), b"{".to_vec(), 400, "bad-request"),
+        ("POST", completions.clone(), Some(API_KEY), b"{".to_vec(), 400, "bad-request"),
         (
             "POST",
             completions.clone(),
-            Some(KEY),
+            Some(API_KEY),
             b"{\"model\":\"a b\"}".to_vec(),
             400,
             "bad-request",
@@ -53,18 +53,25 @@
         (
             "POST",
             completions.clone(),
-            Some(KEY),
+            Some(API_KEY),
             b"{\"model\":\"none\"}".to_vec(),
             404,
             "not-found",
         ),
         ("POST", completions.clone(), None, b"{}".to_vec(), 401, "unauthorized"),
         ("POST", completions.clone(), Some("wrong"), b"{}".to_vec(), 401, "unauthorized"),
-        ("GET", completions.clone(), Some(KEY), Vec::new(), 405, "method-not-allowed"),
-        ("POST", completions, Some(KEY), vec![b' '; 9 << 20], 413, "body-too-large"),
-        ("GET", format!("{base}/nowhere"), Some(KEY), Vec::new(), 404, "not-found"),
-        ("GET", format!("{base}/services/none/x"), Some(KEY), Vec::new(), 404, "not-found"),
-        ("GET", format!("{base}/services/bad%20name/x"), Some(KEY), Vec::new(), 404, "not-found"),
+        ("GET", completions.clone(), Some(API_KEY), Vec::new(), 405, "method-not-allowed"),
+        ("POST", completions, Some(API_KEY), vec![b' '; 9 << 20], 413, "body-too-large"),
+        ("GET", format!("{base}/nowhere"), Some(API_KEY), Vec::new(), 404, "not-found"),
+        ("GET", format!("{base}/services/none/x"), Some(API_KEY), Vec::new(), 404, "not-found"),
+        (
+            "GET",
+            format!("{base}/services/bad%20name/x"),
+            Some(API_KEY),
+            Vec::new(),
+            404,
+            "not-found",
+        ),
     ];
     for (method, url, key, body, status, reason) in cases {
         let found = send_invalid(method, &url, key, body);
@@ -78,12 +85,12 @@
 #[test]
 fn a_caller_still_sending_an_oversized_body_receives_413() {
     use std::io::{Read, Write};
-    let test = TestCluster::start(options(1, 0));
+    let test = TestCluster::start(cluster_options(1, 0));
     let address = test.cluster.caller_addresses()[0].to_string();
     let mut stream = std::net::TcpStream::connect(address).expect("connected");
     let length = 9 << 20;
     let head = format!(
-        "POST /v1/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {KEY}\r\n\
+        "POST /v1/completions HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {API_KEY}\r\n\
          Content-Length: {length}\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).expect("sent");
@@ -102,7 +109,7 @@
 
 #[test]
 fn operators_receive_the_reason_of_a_rejection() {
-    let test = TestCluster::start(options(0, 0));
+    let test = TestCluster::start(cluster_options(0, 0));
     let base = format!("http://{}", test.cluster.entry_operator(0));
     let token = test.cluster.operator_token();
     let token = Some(token.expose());
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -1,6 +1,6 @@
 //! The program as operators run it: processes of their own, killed, frozen, stopped and repaired.
 
-use crate::support::{KEY, PATIENCE, block_on};
+use crate::support::{API_KEY, WAIT_TIMEOUT, block_on};
 use egretseam_fakes::{BookingLedger, FakeBookingService};
 use egretseam_local::{CallOutcome, CallerClient, CallerCounts, SystemThread};
 use std::{
@@ -49,7 +49,7 @@
 
 fn settle<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
+    while begun.elapsed() < WAIT_TIMEOUT {
         if let Some(found) = look() {
             return found;
         }
@@ -64,7 +64,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         fs::write(folder.path().join("peer.token"), "peer-token-0123456789").expect("written");
         fs::write(folder.path().join("op.token"), "operator-token-0123456789").expect("written");
-        fs::write(folder.path().join("keys"), format!("{KEY}\n")).expect("written");
+        fs::write(folder.path().join("keys"), format!("{API_KEY}\n")).expect("written");
         let ledger = BookingLedger::default();
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let target_address = listener.local_addr().expect("an address").to_string();
@@ -194,7 +194,7 @@
         let id = id.to_owned();
         block_on(async move {
             // Shorter than the default, for the address of a frozen instance is still on the list.
-            let caller = CallerClient::new(&seeds, KEY, Arc::new(CallerCounts::default()));
+            let caller = CallerClient::new(&seeds, API_KEY, Arc::new(CallerCounts::default()));
             let caller = caller.with_call_limit(Duration::from_secs(3));
             caller.book("orders", &id, &ledger).await
         })
@@ -296,7 +296,7 @@
         let (stop, counts) = (stop.clone(), counts.clone());
         std::thread::spawn(move || {
             block_on(async move {
-                let caller = CallerClient::new(&seeds, KEY, counts);
+                let caller = CallerClient::new(&seeds, API_KEY, counts);
                 let mut number = 0;
                 while !stop.load(Ordering::Relaxed) {
                     number += 1;
--- a/tests/all/streams.rs
+++ b/tests/all/streams.rs
@@ -1,7 +1,7 @@
 //! Streamed responses while targets fail, leave and change their version.
 
 use crate::support::{
-    CHUNK_BYTES, KEY, MODEL_BYTES, PATIENCE, TestCluster, model_profile, options,
+    API_KEY, CHUNK_BYTES, MODEL_BYTES, TestCluster, WAIT_TIMEOUT, cluster_options, model_profile,
 };
 use egretseam_catalog::ConfigEdit;
 use egretseam_local::{CallOutcome, LoadOptions, LoadThread};
@@ -13,7 +13,7 @@
 /// missing.
 #[test]
 fn a_stream_continues_at_another_target_with_the_same_version() {
-    let test = TestCluster::start(options(2, 0));
+    let test = TestCluster::start(cluster_options(2, 0));
     let broken = test.cluster.agent("runner-0").expect("an agent");
     broken.faults.break_after_tokens.store(5, Ordering::Relaxed);
     for number in 0..8 {
@@ -28,21 +28,23 @@
 /// target that is left.
 #[test]
 fn streams_survive_the_death_of_most_targets_at_once() {
-    let mut test = TestCluster::start(options(6, 0));
+    let mut test = TestCluster::start(cluster_options(6, 0));
     for number in 0..5 {
         let agent = test.cluster.agent(&format!("runner-{number}")).expect("an agent");
         agent.faults.slowdown.store(20, Ordering::Relaxed);
     }
     let load = start_load(&test, vec![test.model.digest]);
     let begun = || Ok(load.counts().sent.load(Ordering::Relaxed) > 8);
-    test.cluster.wait_until("the load to start", PATIENCE, begun).expect("begun");
+    test.cluster.wait_until("the load to start", WAIT_TIMEOUT, begun).expect("begun");
     for number in 0..5 {
         test.cluster.kill_target(&format!("runner-{number}"));
         test.cluster.kill_agent(&format!("runner-{number}"));
     }
     let at_kill = load.counts().answered.load(Ordering::Relaxed);
     let more = || Ok(load.counts().answered.load(Ordering::Relaxed) > at_kill + 20);
-    test.cluster.wait_until("the remaining target to respond", PATIENCE, more).expect("answered");
+    test.cluster
+        .wait_until("the remaining target to respond", WAIT_TIMEOUT, more)
+        .expect("answered");
     assert_no_failures(load);
 }
 
@@ -50,7 +52,7 @@
 /// connections cleanly. Such a response must not count as complete.
 #[test]
 fn a_stream_without_its_last_event_is_never_complete() {
-    let test = TestCluster::start(options(2, 0));
+    let test = TestCluster::start(cluster_options(2, 0));
     for agent in test.cluster.agents() {
         agent.faults.omit_done_event.store(true, Ordering::Relaxed);
     }
@@ -61,7 +63,7 @@
 fn start_load(test: &TestCluster, versions: Vec<egretseam_proto::ChunkDigest>) -> LoadThread {
     let options = LoadOptions {
         seeds: test.cluster.caller_addresses(),
-        key: KEY.to_owned(),
+        key: API_KEY.to_owned(),
         callers: 4,
         pause: Duration::from_millis(3),
         model_service: "chat".to_owned(),
@@ -85,7 +87,7 @@
 /// the target must get no request after its stop.
 #[test]
 fn graceful_stops_cut_off_no_response() {
-    let mut test = TestCluster::start(options(3, 0));
+    let mut test = TestCluster::start(cluster_options(3, 0));
     let load = start_load(&test, vec![test.model.digest]);
     test.cluster.stop_agent("runner-1");
     let stopped = test.cluster.agent("runner-1").expect("an agent").counters.clone();
@@ -99,7 +101,7 @@
 /// must halt, and all targets must continue to serve the old version.
 #[test]
 fn a_version_that_fails_to_load_halts_the_rollout() {
-    let test = TestCluster::start(options(3, 0));
+    let test = TestCluster::start(cluster_options(3, 0));
     let bad = test.cluster.publish("model", "v2", 2, MODEL_BYTES, CHUNK_BYTES).expect("published");
     for agent in test.cluster.agents() {
         agent.faults.fail_loads.store(true, Ordering::Relaxed);
@@ -109,7 +111,7 @@
     let edit = ConfigEdit::ChangeProfile { name: name.clone(), spec: model_profile(&bad) };
     test.cluster.edit(test.revision, edit).expect("accepted");
     let halted = || Ok(test.cluster.config()?.profiles[&name].halted.is_some());
-    test.cluster.wait_until("the rollout to halt", PATIENCE, halted).expect("halted");
+    test.cluster.wait_until("the rollout to halt", WAIT_TIMEOUT, halted).expect("halted");
     test.wait_serving(test.model.manifest, 3);
     let orders = test.cluster.agents().map(|agent| agent.counters.orders.load(Ordering::Relaxed));
     // One order each for the first version, and one for the second at a single target.
@@ -121,7 +123,7 @@
 /// outcome from the engine's state, and send no second order while the engine is loading.
 #[test]
 fn an_order_with_a_lost_response_is_resolved_by_the_engines_state() {
-    let test = TestCluster::start(options(1, 0));
+    let test = TestCluster::start(cluster_options(1, 0));
     let next = test.cluster.publish("model", "v2", 2, MODEL_BYTES, CHUNK_BYTES).expect("published");
     let agent = test.cluster.agent("runner-0").expect("an agent");
     agent.faults.lose_order_replies.store(true, Ordering::Relaxed);
@@ -138,14 +140,14 @@
 /// the other target must serve all requests.
 #[test]
 fn a_dead_engine_leaves_service() {
-    let mut test = TestCluster::start(options(2, 0));
+    let mut test = TestCluster::start(cluster_options(2, 0));
     test.cluster.kill_target("runner-0");
     let out = || {
         let targets = test.cluster.targets(0)?;
         let target = targets.iter().find(|item| item.report.target.as_str() == "runner-0");
         Ok(target.is_some_and(|item| item.report.state != TargetState::Serving))
     };
-    test.cluster.wait_until("the target to leave service", PATIENCE, out).expect("it left");
+    test.cluster.wait_until("the target to leave service", WAIT_TIMEOUT, out).expect("it left");
     for number in 0..5 {
         let outcome = test.stream(&format!("prompt {number}"), 6, &[test.model.digest]);
         assert_eq!(outcome, CallOutcome::Answered);
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -9,9 +9,9 @@
 use std::{sync::Arc, time::Duration};
 
 /// How long anything may take that is waited for; far above what it takes.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// The test organisation's API key.
-pub(crate) const KEY: &str = "test-organisation-key";
+pub(crate) const API_KEY: &str = "test-organisation-key";
 /// Size of a test version in bytes.
 pub(crate) const MODEL_BYTES: usize = 1024 * 1024;
 /// Size of a chunk of it.
@@ -25,7 +25,7 @@
 }
 
 /// Options for a cluster of this many model and plain targets.
-pub(crate) fn options(model_agents: usize, plain_agents: usize) -> ClusterOptions {
+pub(crate) fn cluster_options(model_agents: usize, plain_agents: usize) -> ClusterOptions {
     let engine = EngineOptions { load_time: Duration::from_millis(20), ..EngineOptions::default() };
     ClusterOptions { model_agents, plain_agents, engine, ..ClusterOptions::default() }
 }
@@ -48,7 +48,7 @@
     pub(crate) fn start(options: ClusterOptions) -> Self {
         let cluster = LocalCluster::start(options).expect("the cluster starts");
         let model = cluster.publish("model", "v1", 1, MODEL_BYTES, CHUNK_BYTES).expect("published");
-        cluster.add_organisation("kehila", KEY, 1).expect("accepted");
+        cluster.add_organisation("kehila", API_KEY, 1).expect("accepted");
         let plain = ProfileSpec {
             group: GroupName::try_from("plain").expect("a valid name"),
             weights: None,
@@ -61,13 +61,15 @@
         let test = Self { cluster, model, revision };
         test.wait_serving(test.model.manifest, test.cluster.options().model_agents);
         let plain = test.cluster.options().plain_agents;
-        test.cluster.wait_replicas("plain", None, plain, PATIENCE).expect("plain targets serve");
+        test.cluster
+            .wait_replicas("plain", None, plain, WAIT_TIMEOUT)
+            .expect("plain targets serve");
         test
     }
 
     /// Waits until so many model targets serve a version.
     pub(crate) fn wait_serving(&self, manifest: egretseam_proto::ManifestId, count: usize) {
-        let waited = self.cluster.wait_replicas("runners", Some(manifest), count, PATIENCE);
+        let waited = self.cluster.wait_replicas("runners", Some(manifest), count, WAIT_TIMEOUT);
         waited.expect("model targets serve");
     }
 
@@ -76,7 +78,7 @@
         let (address, ledger) = (address.to_owned(), self.cluster.ledger.clone());
         let id = id.to_owned();
         block_on(async move {
-            let caller = CallerClient::new(&[address], KEY, Arc::new(CallerCounts::default()));
+            let caller = CallerClient::new(&[address], API_KEY, Arc::new(CallerCounts::default()));
             caller.book("orders", &id, &ledger).await
         })
     }
@@ -91,7 +93,7 @@
         let (seeds, versions) = (self.cluster.caller_addresses(), versions.to_vec());
         let prompt = prompt.to_owned();
         block_on(async move {
-            let caller = CallerClient::new(&seeds, KEY, Arc::new(CallerCounts::default()));
+            let caller = CallerClient::new(&seeds, API_KEY, Arc::new(CallerCounts::default()));
             caller.complete("chat", &prompt, tokens, true, &versions).await
         })
     }
--- a/tests/all/weights.rs
+++ b/tests/all/weights.rs
@@ -1,6 +1,8 @@
 //! Transfer of weights and their storage on disk.
 
-use crate::support::{CHUNK_BYTES, MODEL_BYTES, PATIENCE, TestCluster, model_profile, options};
+use crate::support::{
+    CHUNK_BYTES, MODEL_BYTES, TestCluster, WAIT_TIMEOUT, cluster_options, model_profile,
+};
 use egretseam_catalog::ConfigEdit;
 use egretseam_fakes::{EngineOptions, OriginOptions, synthetic_weights};
 use egretseam_local::{CallOutcome, ClusterOptions, LocalCluster, PublishedModel};
@@ -132,7 +134,7 @@
 /// an empty disk fetches every byte from its peers.
 #[test]
 fn peers_serve_a_version_whose_origin_is_unreachable() {
-    let mut test = TestCluster::start(options(3, 0));
+    let mut test = TestCluster::start(cluster_options(3, 0));
     test.cluster.origin.faults.down.store(true, Ordering::Relaxed);
     let origin_bytes = test.cluster.origin.counters.bytes_sent.load(Ordering::Relaxed);
     test.cluster.kill_agent("runner-2");
@@ -148,7 +150,7 @@
 /// fetched again, and engines load exactly what was published.
 #[test]
 fn chunks_corrupted_at_the_origin_never_reach_an_engine() {
-    let test = TestCluster::start(options(2, 0));
+    let test = TestCluster::start(cluster_options(2, 0));
     test.cluster.origin.faults.corrupt_one_in.store(4, Ordering::Relaxed);
     let next = test.cluster.publish("model", "v2", 2, MODEL_BYTES, CHUNK_BYTES).expect("published");
     let name = ProfileName::try_from("model").expect("a valid name");
@@ -167,7 +169,7 @@
 #[test]
 fn profile_change_during_a_transfer_stops_the_superseded_version() {
     let slow = OriginOptions { bytes_per_second: Some(600_000), requests_per_second: None };
-    let test = TestCluster::start(ClusterOptions { origin: slow, ..options(2, 0) });
+    let test = TestCluster::start(ClusterOptions { origin: slow, ..cluster_options(2, 0) });
     let second =
         test.cluster.publish("model", "v2", 2, MODEL_BYTES, CHUNK_BYTES).expect("published");
     let third =
@@ -178,7 +180,7 @@
     let origin_bytes = test.cluster.origin.counters.bytes_sent.load(Ordering::Relaxed);
     let begun =
         || Ok(test.cluster.origin.counters.bytes_sent.load(Ordering::Relaxed) > origin_bytes);
-    test.cluster.wait_until("the transfer to begin", PATIENCE, begun).expect("begun");
+    test.cluster.wait_until("the transfer to begin", WAIT_TIMEOUT, begun).expect("begun");
     let edit = ConfigEdit::ChangeProfile { name, spec: model_profile(&third) };
     test.cluster.edit(revision, edit).expect("accepted");
     test.wait_serving(third.manifest, 2);
@@ -204,7 +206,7 @@
 /// without its adapter cannot be mistaken for one with it.
 #[test]
 fn an_adapter_is_loaded_together_with_its_model() {
-    let test = TestCluster::start(options(2, 0));
+    let test = TestCluster::start(cluster_options(2, 0));
     let adapter = add_adapter(&test);
     let mut pair = b"egretseam set 1\n".to_vec();
     pair.extend_from_slice(test.model.manifest.as_bytes());
@@ -228,13 +230,13 @@
 fn rollout_continues_after_the_report_of_a_switch_is_lost() {
     let load_time = Duration::from_millis(1_000);
     let engine = EngineOptions { load_time, ..EngineOptions::default() };
-    let mut test = TestCluster::start(ClusterOptions { engine, ..options(2, 0) });
+    let mut test = TestCluster::start(ClusterOptions { engine, ..cluster_options(2, 0) });
     add_adapter(&test);
     let orders = |cluster: &LocalCluster| -> u64 {
         cluster.agents().map(|agent| agent.counters.orders.load(Ordering::Relaxed)).sum()
     };
     let ordered = || Ok(orders(&test.cluster) == 3);
-    test.cluster.wait_until("the first switch", PATIENCE, ordered).expect("one is ordered");
+    test.cluster.wait_until("the first switch", WAIT_TIMEOUT, ordered).expect("one is ordered");
     test.cluster.kill_control(0);
     test.cluster.kill_control(1);
     std::thread::sleep(QUORUM_OUTAGE);
@@ -248,7 +250,7 @@
 /// disk budget for such weights is 0.
 #[test]
 fn weights_of_a_retired_profile_are_removed() {
-    let test = TestCluster::start(options(1, 0));
+    let test = TestCluster::start(cluster_options(1, 0));
     let store = WeightStore::open(&test.cluster.weights_folder("runner-0")).expect("opened");
     assert_eq!(store.list_complete().expect("listed").len(), 1);
     let service = ServiceName::try_from("chat").expect("a valid name");
@@ -257,7 +259,7 @@
     let name = ProfileName::try_from("model").expect("a valid name");
     test.cluster.edit(test.revision, ConfigEdit::RetireProfile { name }).expect("accepted");
     let freed = || Ok(store.list_complete()?.is_empty() && store.used_bytes()? == 0);
-    test.cluster.wait_until("the weights to be removed", PATIENCE, freed).expect("removed");
+    test.cluster.wait_until("the weights to be removed", WAIT_TIMEOUT, freed).expect("removed");
 }
 
 /// The store rejects most requests with 429. While its `Retry-After` lasts the origin is used, and
@@ -265,7 +267,7 @@
 #[test]
 fn version_arrives_while_the_store_rejects_most_requests() {
     let store = OriginOptions { bytes_per_second: None, requests_per_second: Some(4) };
-    let test = TestCluster::start(ClusterOptions { store: Some(store), ..options(2, 0) });
+    let test = TestCluster::start(ClusterOptions { store: Some(store), ..cluster_options(2, 0) });
     let fake = test.cluster.store.as_ref().expect("a store");
     assert!(fake.counters.bytes_sent.load(Ordering::Relaxed) > 0, "the store is preferred");
     assert_eq!(test.stream("a prompt", 6, &[test.model.digest]), CallOutcome::Answered);
