--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -85,7 +85,7 @@
     let limit = terms.time_left.map_or(limit, |left| left.min(limit));
     tokio::select! {
         _ = tokio::time::timeout(limit, shared.wait_for_routes()) => true,
-        () = caller.closed(attempt::MAX_PIPELINED_BYTES) => {
+        () = caller.wait_for_close(attempt::MAX_PIPELINED_BYTES) => {
             shared.metrics.callers_disconnected.inc();
             tracing::info!(request_id = %terms.id, "caller disconnected awaiting configuration");
             false
@@ -315,7 +315,7 @@
     let reply = tokio::select! {
         biased;
         reply = dispatch::acquire_slot(shared, &slot_request) => reply,
-        () = caller.closed(attempt::MAX_PIPELINED_BYTES) => return None,
+        () = caller.wait_for_close(attempt::MAX_PIPELINED_BYTES) => return None,
     };
     Some(match reply {
         SlotReply::Acquired(guard) => Ok(guard),
--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -3,8 +3,8 @@
 //! every response.
 
 use awc::{Client, http::StatusCode};
-use egretseam_fakes::{ExpectedAnswer, PlainLedger};
-use egretseam_http::{ClientOptions, http_client, reported_failure};
+use egretseam_fakes::{BookingLedger, ExpectedCompletion};
+use egretseam_http::{ClientOptions, failure_from_headers, http_client};
 use egretseam_proto::{ChunkDigest, IDEMPOTENCY_HEADER, RefusalReason, RequestVerdict};
 use futures::StreamExt;
 use serde::Deserialize;
@@ -150,7 +150,7 @@
         });
         let request = CallerRequest { path: "/v1/completions", body: &body, key: None };
         let is_expected = |text: &str| {
-            versions.iter().any(|v| ExpectedAnswer::new(*v, prompt).text(tokens) == text)
+            versions.iter().any(|v| ExpectedCompletion::new(*v, prompt).text(tokens) == text)
         };
         let outcome = self
             .send_with_retries(&request, |bytes| {
@@ -162,7 +162,7 @@
 
     /// Books the order `id` with `id` as the idempotency key, and compares the outcome with the
     /// ledger.
-    pub async fn book(&self, service: &str, id: &str, ledger: &PlainLedger) -> CallOutcome {
+    pub async fn book(&self, service: &str, id: &str, ledger: &BookingLedger) -> CallOutcome {
         let body = serde_json::json!({ "id": id });
         let path = format!("/services/{service}/orders");
         let request = CallerRequest { path: &path, body: &body, key: Some(id) };
@@ -172,7 +172,7 @@
                 reply.is_ok_and(|reply| reply["id"] == id && reply["run"] == 1)
             })
             .await;
-        let runs = ledger.runs(id);
+        let runs = ledger.booking_count(id);
         let false_verdict = match outcome {
             CallOutcome::Answered => runs != 1,
             CallOutcome::NotRun => runs != 0,
@@ -235,7 +235,7 @@
             Err(error) => {
                 // A connection that was refused, or that a stopping entry closed while it was idle,
                 // did not execute the request.
-                let report = egretseam_http::send_failure(&error);
+                let report = egretseam_http::classify_send_error(&error);
                 self.remove_address(address);
                 return match report.verdict {
                     RequestVerdict::NotRun => CallOutcome::NotRun,
@@ -243,7 +243,7 @@
                 };
             }
         };
-        if let Some(report) = reported_failure(response.headers()) {
+        if let Some(report) = failure_from_headers(response.headers()) {
             if report.reason == RefusalReason::Stopping {
                 self.remove_address(address);
             }
@@ -351,7 +351,7 @@
 
 impl LoadGenerator {
     /// Starts the callers; outcomes of bookings are compared with `ledger`.
-    pub fn spawn(options: LoadOptions, ledger: PlainLedger) -> Self {
+    pub fn spawn(options: LoadOptions, ledger: BookingLedger) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let counts = Arc::new(CallerCounts::default());
         let (stopped, shared) = (stop.clone(), counts.clone());
@@ -395,7 +395,7 @@
 async fn run_caller(
     number: usize,
     options: Rc<LoadOptions>,
-    ledger: PlainLedger,
+    ledger: BookingLedger,
     counts: Arc<CallerCounts>,
     stop: &AtomicBool,
 ) {
--- a/crates/local/src/cluster.rs
+++ b/crates/local/src/cluster.rs
@@ -10,7 +10,7 @@
 use egretseam_catalog::{ConfigEdit, ConfigView, OrganisationSpec, ProfileSpec, WeightsSpec};
 use egretseam_daemon::{DaemonThread, DaemonTokens};
 use egretseam_fakes::{
-    EngineCounters, EngineFaults, EngineOptions, FakeOrigin, OriginOptions, PlainLedger,
+    BookingLedger, EngineCounters, EngineFaults, EngineOptions, FakeOrigin, OriginOptions,
     RelayFaults, synthetic_weights,
 };
 use egretseam_http::SecretToken;
@@ -147,7 +147,7 @@
     /// The fake weight store, if one was started.
     pub store: Option<FakeOrigin>,
     /// Bookings made by the plain services.
-    pub ledger: PlainLedger,
+    pub ledger: BookingLedger,
     control: Vec<LocalDaemon>,
     entries: Vec<LocalDaemon>,
     agents: BTreeMap<String, LocalAgent>,
@@ -196,7 +196,7 @@
             tokens,
             origin,
             store,
-            ledger: PlainLedger::default(),
+            ledger: BookingLedger::default(),
             control: Vec::new(),
             entries: Vec::new(),
             agents: BTreeMap::new(),
--- a/crates/local/src/drill.rs
+++ b/crates/local/src/drill.rs
@@ -115,7 +115,7 @@
         load_options(&cluster, options, &first, &second),
         cluster.ledger.clone(),
     );
-    let bytes_before = cluster.origin.counters.bytes.load(Ordering::Relaxed);
+    let bytes_before = cluster.origin.counters.bytes_sent.load(Ordering::Relaxed);
     let name = ProfileName::try_from("assistant")?;
     let edit = ConfigEdit::ChangeProfile { name, spec: model_profile(&second)? };
     cluster.edit(revision, edit)?;
@@ -147,7 +147,7 @@
         retried: get(&counts.retried),
         wrong: get(&counts.wrong),
         lost: get(&counts.lost),
-        doubled: get(&counts.false_verdicts) + cluster.ledger.doubled() as u64,
+        doubled: get(&counts.false_verdicts) + cluster.ledger.duplicate_count() as u64,
         cut_off: get(&counts.cut_off),
     })
 }
@@ -182,7 +182,7 @@
 }
 
 fn copies_fetched(cluster: &LocalCluster, bytes_before: u64, copy_bytes: usize) -> f64 {
-    let fetched = cluster.origin.counters.bytes.load(Ordering::Relaxed) - bytes_before;
+    let fetched = cluster.origin.counters.bytes_sent.load(Ordering::Relaxed) - bytes_before;
     fetched as f64 / copy_bytes as f64
 }
 
--- a/tests/all/fleet/bed.rs
+++ b/tests/all/fleet/bed.rs
@@ -132,7 +132,7 @@
             target,
             content_type: "application/json",
             body,
-            limit: Duration::from_secs(5),
+            timeout: Duration::from_secs(5),
             max_body: 1 << 20,
         };
         let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
@@ -167,7 +167,7 @@
             target: "/metrics",
             content_type: "",
             body: b"",
-            limit: Duration::from_secs(5),
+            timeout: Duration::from_secs(5),
             max_body: 1 << 20,
         };
         let wait = async {
@@ -197,7 +197,7 @@
     pub(super) async fn start_target(&mut self, id: &str) -> Rc<ScriptedTarget> {
         let target = ScriptedTarget::start(self.unused_host(), id).await;
         self.announce(&target, "ready").await;
-        self.wait_until(|| self.entry.knows_target(id)).await;
+        self.wait_until(|| self.entry.is_target_ready(id)).await;
         target
     }
 
