--- a/crates/local/src/caller.rs
+++ b/crates/local/src/caller.rs
@@ -172,11 +172,11 @@
                 reply.is_ok_and(|reply| reply["id"] == id && reply["run"] == 1)
             })
             .await;
-        let runs = ledger.booking_count(id);
+        let booking_count = ledger.booking_count(id);
         let false_verdict = match outcome {
-            CallOutcome::Answered => runs != 1,
-            CallOutcome::NotRun => runs != 0,
-            _ => runs > 1,
+            CallOutcome::Answered => booking_count != 1,
+            CallOutcome::NotRun => booking_count != 0,
+            _ => booking_count > 1,
         };
         if false_verdict {
             self.counts.false_verdicts.fetch_add(1, Ordering::Relaxed);
