--- a/crates/h1/src/accept.rs
+++ b/crates/h1/src/accept.rs
@@ -1,13 +1,13 @@
-//! Accepting connections on the current thread.
+//! Accept loop on the current thread.
 
 use std::{io, net::TcpListener, time::Duration};
 use tokio::net::TcpStream;
 
-/// Pause after the system refused a connection, for example for want of descriptors.
-const BACKOFF: Duration = Duration::from_millis(50);
+/// Delay before the next `accept` after one failed, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves every connection of `listener` with the task that `serve` makes of it, until `serve`
-/// makes none any more.
+/// Accepts connections on `listener` and spawns the task that `serve` returns for each, until
+/// `serve` returns `None`.
 ///
 /// # Errors
 /// Fails if the listener cannot be made non-blocking.
@@ -26,8 +26,8 @@
                     actix_rt::spawn(task);
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "accept failed");
-                    tokio::time::sleep(BACKOFF).await;
+                    tracing::warn!(%error, "failed to accept a connection");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/h1/src/body.rs
+++ b/crates/h1/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies, read piece by piece.
+//! Incremental reading of message bodies.
 
 use crate::{
     connection::{HttpConnection, ReadError},
@@ -6,21 +6,21 @@
 };
 use bytes::{Buf, Bytes};
 
-/// Longest line that announces a chunk, with its extensions.
-const MAX_CHUNK_LINE: usize = 256;
-/// Most bytes of trailer fields.
+/// Upper limit of a chunk-size line, including chunk extensions.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+/// Upper limit of the trailer section.
 const MAX_TRAILER_BYTES: usize = 4_096;
 
-/// How a body is delimited.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// So many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// Chunks.
+    /// Chunked transfer coding.
     Chunked,
-    /// Everything until the peer closes; a reset means that it was cut off.
+    /// The body ends when the peer closes the connection; a reset means that it was truncated.
     UntilClose,
 }
 
@@ -35,14 +35,15 @@
     Done,
 }
 
-/// Reads one body from a connection. Dropping it before the end leaves the connection unusable.
+/// Reads one body from a connection. If the reader is dropped before the body ends, the connection
+/// cannot be used for another message.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyReader {
     state: ReadState,
 }
 
 impl BodyReader {
-    /// A reader for a body of that framing.
+    /// Creates a reader for a body with the given framing.
     pub fn new(framing: BodyFraming) -> Self {
         let state = match framing {
             BodyFraming::Empty | BodyFraming::Length(0) => ReadState::Done,
@@ -58,17 +59,19 @@
         self.state == ReadState::Done
     }
 
-    /// The next bytes of the body, or `None` at its proper end. Cancelling the future loses nothing.
+    /// Reads the next bytes of the body; returns `None` once the body is complete. Cancel-safe: if
+    /// the future is dropped, no bytes are lost.
     ///
     /// # Errors
-    /// Fails when the body ends early, the connection breaks, or the chunks are malformed.
+    /// Fails when the connection closes before the body is complete, on an I/O error, and on
+    /// malformed chunks.
     pub async fn next(
         &mut self,
         connection: &mut HttpConnection,
     ) -> Result<Option<Bytes>, ReadError> {
         loop {
-            if let Some(piece) = self.take(connection)? {
-                return Ok(Some(piece));
+            if let Some(data) = self.take_buffered(connection)? {
+                return Ok(Some(data));
             }
             if self.is_done() {
                 return Ok(None);
@@ -84,28 +87,35 @@
         }
     }
 
-    /// What is buffered already, without waiting.
-    fn take(&mut self, connection: &mut HttpConnection) -> Result<Option<Bytes>, ReadError> {
+    /// Returns body bytes that are already buffered, without reading from the socket.
+    fn take_buffered(
+        &mut self,
+        connection: &mut HttpConnection,
+    ) -> Result<Option<Bytes>, ReadError> {
         loop {
             let buffer = connection.buffer_mut();
             match self.state {
                 ReadState::Done => return Ok(None),
                 ReadState::UntilClose => {
-                    let whole = buffer.split().freeze();
-                    return Ok((!whole.is_empty()).then_some(whole));
+                    let data = buffer.split().freeze();
+                    return Ok((!data.is_empty()).then_some(data));
                 }
-                ReadState::Fixed(left) => {
-                    let Some(piece) = split_some(buffer, left) else { return Ok(None) };
-                    let left = left - piece.len() as u64;
-                    self.state = if left == 0 { ReadState::Done } else { ReadState::Fixed(left) };
-                    return Ok(Some(piece));
-                }
-                ReadState::ChunkData(left) => {
-                    let Some(piece) = split_some(buffer, left) else { return Ok(None) };
-                    let left = left - piece.len() as u64;
+                ReadState::Fixed(remaining) => {
+                    let Some(data) = split_up_to(buffer, remaining) else { return Ok(None) };
+                    let remaining = remaining - data.len() as u64;
                     self.state =
-                        if left == 0 { ReadState::ChunkEnd } else { ReadState::ChunkData(left) };
-                    return Ok(Some(piece));
+                        if remaining == 0 { ReadState::Done } else { ReadState::Fixed(remaining) };
+                    return Ok(Some(data));
+                }
+                ReadState::ChunkData(remaining) => {
+                    let Some(data) = split_up_to(buffer, remaining) else { return Ok(None) };
+                    let remaining = remaining - data.len() as u64;
+                    self.state = if remaining == 0 {
+                        ReadState::ChunkEnd
+                    } else {
+                        ReadState::ChunkData(remaining)
+                    };
+                    return Ok(Some(data));
                 }
                 ReadState::ChunkEnd => {
                     if buffer.len() < 2 {
@@ -140,8 +150,8 @@
     }
 }
 
-fn split_some(buffer: &mut bytes::BytesMut, most: u64) -> Option<Bytes> {
-    let length = (buffer.len() as u64).min(most) as usize;
+fn split_up_to(buffer: &mut bytes::BytesMut, max_bytes: u64) -> Option<Bytes> {
+    let length = (buffer.len() as u64).min(max_bytes) as usize;
     (length > 0).then(|| buffer.split_to(length).freeze())
 }
 
@@ -151,7 +161,7 @@
             buffer.advance(used);
             Ok(Some(size))
         }
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_CHUNK_LINE => Ok(None),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_CHUNK_LINE_BYTES => Ok(None),
         Ok(httparse::Status::Partial) | Err(_) => Err(HeadError::Malformed.into()),
     }
 }
--- a/crates/h1/src/connection.rs
+++ b/crates/h1/src/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection that carries messages.
+//! TCP connection that carries HTTP/1.1 messages.
 
 use crate::{
     body::BodyReader,
@@ -18,38 +18,39 @@
     net::TcpStream,
 };
 
-/// Room made for one read.
-const READ_BYTES: usize = 4_096;
-/// Largest head of an answer.
-const MAX_RESPONSE_HEAD: usize = 32 * 1024;
-/// Connections that may wait to be accepted. The platform's kernels drop the opening packet of a
-/// connection that finds the queue full, and send it again only after a second.
-const ACCEPT_QUEUE: i32 = 1_024;
+/// Buffer space reserved for each read.
+const READ_RESERVE_BYTES: usize = 4_096;
+/// Upper limit of a response head.
+const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
+/// Length of the accept queue. When it is full, the platform's kernels drop the SYN of a new
+/// connection, which is retransmitted only after a second.
+const LISTEN_BACKLOG: i32 = 1_024;
 
 /// Why a message could not be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The peer closed in the middle of a message.
-    #[error("the connection closed in the middle of a message")]
+    /// The peer closed the connection before the message was complete.
+    #[error("connection closed before the message was complete")]
     Closed,
-    /// The connection broke.
+    /// I/O error on the connection.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The message is not proper HTTP/1.1.
+    /// The message is not valid HTTP/1.1.
     #[error(transparent)]
     Head(#[from] HeadError),
-    /// The head is larger than accepted.
-    #[error("the head is too large")]
+    /// The head exceeds the size limit.
+    #[error("message head exceeds the size limit")]
     HeadTooLarge,
-    /// The body is larger than accepted.
-    #[error("the body is too large")]
+    /// The body exceeds the size limit.
+    #[error("message body exceeds the size limit")]
     BodyTooLarge,
 }
 
-/// Kernel limits of a connection.
+/// Socket options of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionOptions {
-    /// How long sent bytes may stay unacknowledged, and how long a silent peer goes unnoticed.
+    /// Time after which a peer that acknowledges neither sent data nor keepalive probes counts as
+    /// lost.
     pub peer_timeout: Duration,
 }
 
@@ -59,21 +60,20 @@
     }
 }
 
-/// A connection and what was read from it but not yet taken.
+/// A connection with its receive buffer.
 #[derive(Debug)]
 pub struct HttpConnection {
     stream: TcpStream,
     buffer: BytesMut,
-    /// How much of the buffer was searched for the end of a head.
-    searched: usize,
+    /// Length of the buffer's prefix that was already searched for the end of a head.
+    searched_bytes: usize,
 }
 
 impl HttpConnection {
-    /// Wraps an accepted or opened connection.
+    /// Wraps an accepted or opened TCP stream.
     ///
-    /// Failure guarded: a peer behind a silent cut answers nothing and resets nothing, and reads
-    /// from it would wait for ever. Keepalive probes and the limit on unacknowledged bytes turn
-    /// that silence into an error.
+    /// A peer behind a network partition sends neither data nor a reset, so a read from it would
+    /// wait forever. TCP keepalive probes and the TCP user timeout turn this into an error.
     pub fn new(stream: TcpStream, options: &ConnectionOptions) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
@@ -81,66 +81,71 @@
         let probes = TcpKeepalive::new().with_time(interval).with_interval(interval);
         socket.set_tcp_keepalive(&probes.with_retries(2))?;
         socket.set_tcp_user_timeout(Some(options.peer_timeout))?;
-        Ok(Self { stream, buffer: BytesMut::new(), searched: 0 })
+        Ok(Self { stream, buffer: BytesMut::new(), searched_bytes: 0 })
     }
 
-    /// Opens a connection.
+    /// Connects to `address`.
     ///
     /// # Errors
-    /// Fails when the peer refuses or does not answer within `limit`.
+    /// Fails if the peer refuses the connection or does not accept it within `connect_timeout`.
     pub async fn open(
         address: SocketAddr,
-        limit: Duration,
+        connect_timeout: Duration,
         options: &ConnectionOptions,
     ) -> io::Result<Self> {
-        let opened = tokio::time::timeout(limit, TcpStream::connect(address)).await;
+        let opened = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await;
         let stream = opened.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         Self::new(stream, options)
     }
 
-    /// Whether bytes were read that nobody has taken.
+    /// Whether the receive buffer holds unconsumed bytes.
     pub fn has_buffered(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     pub(crate) fn buffer_mut(&mut self) -> &mut BytesMut {
-        self.searched = 0;
+        self.searched_bytes = 0;
         &mut self.buffer
     }
 
-    /// Reads once; returns 0 when the peer has closed.
+    /// Reads once from the socket into the buffer; returns 0 if the peer has closed the connection.
     pub(crate) async fn fill(&mut self) -> Result<usize, ReadError> {
-        self.buffer.reserve(READ_BYTES);
+        self.buffer.reserve(READ_RESERVE_BYTES);
         Ok(self.stream.read_buf(&mut self.buffer).await?)
     }
 
-    /// Reads a request's head; `None` if the peer closed between two messages.
+    /// Reads the head of a request of at most `max_head_bytes`; returns `None` if the peer closed
+    /// the connection before its first byte.
     ///
     /// # Errors
     /// See [`ReadError`].
-    pub async fn read_request(&mut self, limit: usize) -> Result<Option<RequestHead>, ReadError> {
+    pub async fn read_request(
+        &mut self,
+        max_head_bytes: usize,
+    ) -> Result<Option<RequestHead>, ReadError> {
         self.skip_empty_lines().await?;
-        match self.read_head(limit).await? {
+        match self.read_head(max_head_bytes).await? {
             Some(bytes) => Ok(Some(RequestHead::parse(&bytes)?)),
             None => Ok(None),
         }
     }
 
-    /// Waits until the first byte of a message is there; returns false if the peer closed.
+    /// Waits for the first byte of a message; returns false if the peer closed the connection.
     ///
     /// # Errors
-    /// Fails when the connection breaks.
+    /// Fails on an I/O error.
     pub async fn wait_for_message(&mut self) -> Result<bool, ReadError> {
         Ok(self.has_buffered() || self.fill().await? > 0)
     }
 
-    /// Reads an answer's head, passing over interim ones.
+    /// Reads the head of a response, skipping interim (1xx) responses other than 101.
     ///
     /// # Errors
-    /// See [`ReadError`]; a close before the first byte is [`ReadError::Closed`].
+    /// See [`ReadError`]. If the peer closes the connection before the first byte, it is
+    /// [`ReadError::Closed`].
     pub async fn read_response(&mut self) -> Result<ResponseHead, ReadError> {
         loop {
-            let bytes = self.read_head(MAX_RESPONSE_HEAD).await?.ok_or(ReadError::Closed)?;
+            let bytes = self.read_head(MAX_RESPONSE_HEAD_BYTES).await?.ok_or(ReadError::Closed)?;
             let head = ResponseHead::parse(&bytes)?;
             let interim = (100..200).contains(&head.status) && head.status != 101;
             if !interim {
@@ -149,45 +154,45 @@
         }
     }
 
-    /// Reads a body to its end.
+    /// Reads a complete body of at most `max_bytes`.
     ///
     /// # Errors
     /// See [`ReadError`].
     pub async fn read_body(
         &mut self,
         mut reader: BodyReader,
-        limit: usize,
+        max_bytes: usize,
     ) -> Result<Bytes, ReadError> {
-        let mut whole = BytesMut::new();
+        let mut body = BytesMut::new();
         let mut first: Option<Bytes> = None;
-        while let Some(piece) = reader.next(self).await? {
-            if whole.len() + first.as_ref().map_or(0, Bytes::len) + piece.len() > limit {
+        while let Some(data) = reader.next(self).await? {
+            if body.len() + first.as_ref().map_or(0, Bytes::len) + data.len() > max_bytes {
                 return Err(ReadError::BodyTooLarge);
             }
             match first.take() {
-                None if whole.is_empty() => first = Some(piece),
-                held => {
-                    whole.extend_from_slice(&held.unwrap_or_default());
-                    whole.extend_from_slice(&piece);
+                None if body.is_empty() => first = Some(data),
+                previous => {
+                    body.extend_from_slice(&previous.unwrap_or_default());
+                    body.extend_from_slice(&data);
                 }
             }
         }
-        // Most bodies arrive in one piece, which is handed on without a copy.
-        Ok(first.unwrap_or_else(|| whole.freeze()))
+        // Most bodies arrive in a single read, which is returned without a copy.
+        Ok(first.unwrap_or_else(|| body.freeze()))
     }
 
-    /// Writes all bytes.
+    /// Writes all of `bytes`.
     ///
     /// # Errors
-    /// Fails when the connection breaks.
+    /// Fails on an I/O error.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Waits until the peer closes or breaks the connection, keeping whatever it sends meanwhile.
-    /// A peer that sends more than `most` bytes ahead is watched no further.
-    pub async fn wait_for_close(&mut self, most: usize) {
-        while self.buffer.len() < most {
+    /// Waits until the peer closes or resets the connection, and buffers the bytes that arrive
+    /// meanwhile. Once `max_buffered` bytes are buffered, it reads no further and never returns.
+    pub async fn wait_for_close(&mut self, max_buffered: usize) {
+        while self.buffer.len() < max_buffered {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
@@ -196,8 +201,9 @@
         std::future::pending().await
     }
 
-    /// Whether a kept connection is quiet: open, with nothing to read. Bytes on a connection with
-    /// no request waiting belong to no request, and a connection that ended cannot carry one.
+    /// Whether the connection is open with nothing to read, so that it can be reused. Bytes that
+    /// arrive while no request is in flight belong to no response, and a closed connection cannot
+    /// carry another request.
     pub fn is_idle(&self) -> bool {
         if self.has_buffered() {
             return false;
@@ -207,25 +213,26 @@
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Closes with a reset, so that nothing sent so far looks like a whole message.
+    /// Closes with a reset, so that the peer does not take a truncated message for a complete one.
     pub fn abort(self) {
         let socket = SockRef::from(&self.stream);
-        // The reset is a courtesy: without it the missing end of the framing still shows the break.
+        // Best effort: without the reset, the missing end of the framing still shows the truncation.
         socket.set_linger(Some(Duration::ZERO)).ok();
     }
 
-    /// Closes in an orderly way: what was written is delivered first.
+    /// Closes the connection gracefully: data already written is delivered first.
     pub async fn close(mut self) {
-        /// How long the peer's own close is awaited, so that its last bytes do not cause a reset
-        /// that would destroy an answer it has not read yet.
-        const LINGER: Duration = Duration::from_millis(500);
+        /// How long to read and discard input until the peer closes as well. Input that arrives
+        /// after the close causes a reset, which can destroy a response that the peer has not read
+        /// yet.
+        const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
         if self.stream.shutdown().await.is_ok() {
             let drain = async {
                 while matches!(self.fill().await, Ok(read) if read > 0) {
                     self.buffer.clear();
                 }
             };
-            tokio::time::timeout(LINGER, drain).await.ok();
+            tokio::time::timeout(LINGER_TIMEOUT, drain).await.ok();
         }
     }
 
@@ -240,19 +247,19 @@
         }
     }
 
-    async fn read_head(&mut self, limit: usize) -> Result<Option<Bytes>, ReadError> {
-        self.searched = 0;
+    async fn read_head(&mut self, max_bytes: usize) -> Result<Option<Bytes>, ReadError> {
+        self.searched_bytes = 0;
         loop {
-            let from = self.searched.saturating_sub(3);
+            let from = self.searched_bytes.saturating_sub(3);
             if let Some(at) = memchr::memmem::find(&self.buffer[from..], b"\r\n\r\n") {
                 let end = from + at + 4;
-                if end > limit {
+                if end > max_bytes {
                     return Err(ReadError::HeadTooLarge);
                 }
                 return Ok(Some(self.buffer.split_to(end).freeze()));
             }
-            self.searched = self.buffer.len();
-            if self.buffer.len() > limit {
+            self.searched_bytes = self.buffer.len();
+            if self.buffer.len() > max_bytes {
                 return Err(ReadError::HeadTooLarge);
             }
             if self.fill().await? == 0 {
@@ -262,7 +269,7 @@
     }
 }
 
-/// Binds a listener that survives a burst of new connections.
+/// Binds a listener whose accept queue holds a burst of new connections.
 ///
 /// # Errors
 /// Fails when the address cannot be bound.
@@ -272,6 +279,6 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(ACCEPT_QUEUE)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
--- a/crates/h1/src/exchange.rs
+++ b/crates/h1/src/exchange.rs
@@ -1,4 +1,5 @@
-//! One call on a connection of its own, for traffic that is too rare to keep connections for.
+//! HTTP calls with a buffered response: on a new connection each, for traffic that is too rare to
+//! keep connections open for, or on a persistent connection.
 
 use crate::{
     body::BodyReader,
@@ -10,56 +11,56 @@
 use std::{io, net::SocketAddr, time::Duration};
 use thiserror::Error;
 
-/// A call to make.
+/// The request of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallRequest<'a> {
-    /// Method.
+    /// Request method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
     /// `Content-Type` of the body; empty for none.
     pub content_type: &'a str,
-    /// Body.
+    /// Request body.
     pub body: &'a [u8],
-    /// Time for the whole call.
+    /// Timeout of the whole call, including the connect; [`HttpConnection::call`] does not apply it.
     pub timeout: Duration,
-    /// Largest body accepted in the answer.
+    /// Upper limit of the response body in bytes.
     pub max_body: usize,
 }
 
-/// The answer to a call.
+/// The response to a call.
 #[derive(Clone, Debug)]
 pub struct CallResponse {
     /// Status code.
     pub status: u16,
     /// Header fields.
     pub headers: HeaderList,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Why a call has no answer.
+/// Why a call got no response.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// No connection.
+    /// No connection could be opened or reused, so nothing was sent.
     #[error("connect: {0}")]
     Connect(io::Error),
-    /// The connection broke, or the answer is not proper HTTP.
+    /// The connection failed, or the response is invalid.
     #[error("{0}")]
     Broken(#[from] ReadError),
-    /// No answer in time.
+    /// No complete response within the timeout.
     #[error("no answer in time")]
     Timeout,
 }
 
 impl ExchangeError {
-    /// Whether the other end may have carried out the call, or may do so later.
+    /// Whether the server may have executed the call, or may still execute it.
     pub fn may_have_run(&self) -> bool {
         !matches!(self, Self::Connect(_))
     }
 }
 
-/// Makes one call and closes the connection.
+/// Makes one call on a new connection and closes it.
 ///
 /// # Errors
 /// See [`ExchangeError`].
@@ -77,10 +78,10 @@
 }
 
 impl HttpConnection {
-    /// Makes one call on this connection, which must be quiet.
+    /// Makes one call on this connection, which must be idle.
     ///
     /// # Errors
-    /// See [`ExchangeError`]; afterwards the connection is of no use.
+    /// See [`ExchangeError`]. The connection cannot be used after an error.
     pub async fn call(
         &mut self,
         host: SocketAddr,
@@ -100,65 +101,68 @@
     }
 }
 
-/// Calls to one address over a connection that is kept between them.
+/// Makes calls to one address over a persistent connection.
 #[derive(Debug)]
 pub struct PersistentClient {
     address: SocketAddr,
-    connect_limit: Option<Duration>,
+    connect_timeout: Option<Duration>,
     connection: Option<HttpConnection>,
 }
 
 impl PersistentClient {
-    /// A client that connects with its first call.
+    /// Creates a client that connects on its first call.
     pub fn new(address: SocketAddr) -> Self {
-        Self { address, connect_limit: None, connection: None }
+        Self { address, connect_timeout: None, connection: None }
     }
 
-    /// A client whose connections must open within `limit`, however long its calls may take.
-    pub fn with_connect_timeout(address: SocketAddr, limit: Duration) -> Self {
-        Self { address, connect_limit: Some(limit), connection: None }
+    /// Creates a client that also bounds the time to open a connection, for calls with a longer
+    /// timeout.
+    pub fn with_connect_timeout(address: SocketAddr, timeout: Duration) -> Self {
+        Self { address, connect_timeout: Some(timeout), connection: None }
     }
 
-    /// The other end.
+    /// Address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Makes one call. A connection that fails is dropped; the call is not repeated.
+    /// Makes one call, on the open connection if there is one. If the connection fails, it is
+    /// dropped and the call is not retried.
     ///
     /// # Errors
     /// See [`ExchangeError`].
     pub async fn call(&mut self, call: &CallRequest<'_>) -> Result<CallResponse, ExchangeError> {
-        let connect_limit =
-            self.connect_limit.map_or(call.timeout, |limit| limit.min(call.timeout));
-        let kept = self.connection.take().filter(HttpConnection::is_idle);
+        let connect_timeout =
+            self.connect_timeout.map_or(call.timeout, |timeout| timeout.min(call.timeout));
+        let idle = self.connection.take().filter(HttpConnection::is_idle);
         let address = self.address;
         let connection = async {
-            if let Some(connection) = kept {
+            if let Some(connection) = idle {
                 return Ok(connection);
             }
             let options = ConnectionOptions::default();
-            let opened = HttpConnection::open(address, connect_limit, &options).await;
+            let opened = HttpConnection::open(address, connect_timeout, &options).await;
             opened.map_err(ExchangeError::Connect)
         };
-        self.call_over(connection, call).await
+        self.call_on(connection, call).await
     }
 
-    /// Makes one call on the connection that the last call left open. It reaches the process that
-    /// answered that call, or none.
+    /// Makes one call on the connection that the previous call left open, without reconnecting. The
+    /// call reaches the server process that answered the previous call, or none.
     ///
     /// # Errors
-    /// See [`ExchangeError`]; nothing is sent where no connection is open.
+    /// See [`ExchangeError`]. If no connection is open, nothing is sent and the error is
+    /// [`ExchangeError::Connect`].
     pub async fn call_reused(
         &mut self,
         call: &CallRequest<'_>,
     ) -> Result<CallResponse, ExchangeError> {
-        let kept = self.connection.take().filter(HttpConnection::is_idle);
+        let idle = self.connection.take().filter(HttpConnection::is_idle);
         let closed = || ExchangeError::Connect(io::ErrorKind::NotConnected.into());
-        self.call_over(async { kept.ok_or_else(closed) }, call).await
+        self.call_on(async { idle.ok_or_else(closed) }, call).await
     }
 
-    async fn call_over(
+    async fn call_on(
         &mut self,
         connection: impl Future<Output = Result<HttpConnection, ExchangeError>>,
         call: &CallRequest<'_>,
--- a/crates/h1/src/head.rs
+++ b/crates/h1/src/head.rs
@@ -1,41 +1,42 @@
-//! Parsed heads.
+//! Parsed message heads.
 
 use bytes::Bytes;
 use thiserror::Error;
 
 use crate::body::BodyFraming;
 
-/// Most header fields of one head; a head with more is refused as too large.
+/// Upper limit of header fields in one head; a head with more is rejected as too large.
 const MAX_FIELDS: usize = 100;
 
-/// A head that is not proper HTTP/1.1.
+/// Why a message is not valid HTTP/1.1.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HeadError {
-    /// Not parseable.
-    #[error("the head is not HTTP/1.1")]
+    /// The head, a chunk or the trailer section cannot be parsed.
+    #[error("malformed HTTP/1.1 message")]
     Malformed,
-    /// More header fields than accepted.
-    #[error("the head has too many header fields")]
+    /// The head has more header fields than accepted.
+    #[error("message head has more than {MAX_FIELDS} header fields")]
     TooManyFields,
-    /// The length of the body can be read in two ways.
-    #[error("the length of the body is ambiguous")]
+    /// `Content-Length` is invalid, or the head has more than one `Content-Length` or
+    /// `Transfer-Encoding` field.
+    #[error("invalid Content-Length, or more than one field that sets the body length")]
     AmbiguousLength,
-    /// A transfer coding other than `chunked`.
-    #[error("the transfer coding is not supported")]
+    /// The transfer coding is not `chunked`.
+    #[error("unsupported transfer coding, expected chunked")]
     UnsupportedCoding,
 }
 
-/// One header field. Name and value share the head's buffer.
+/// One header field. Name and value are slices of the head's buffer.
 #[derive(Clone, Debug)]
 pub struct HeaderField {
-    /// Name as sent.
+    /// Name as received.
     pub name: Bytes,
-    /// Value without surrounding white space.
+    /// Value without leading and trailing whitespace.
     pub value: Bytes,
 }
 
 impl HeaderField {
-    /// Whether the field has this name.
+    /// Whether the field has this name, ignoring case.
     pub fn is(&self, name: &str) -> bool {
         self.name.eq_ignore_ascii_case(name.as_bytes())
     }
@@ -51,23 +52,23 @@
         self.0.iter()
     }
 
-    /// The first field of that name, as text; `None` also where the value is not UTF-8.
+    /// Value of the first field with this name; `None` also if the value is not UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         let field = self.0.iter().find(|field| field.is(name))?;
         std::str::from_utf8(&field.value).ok()
     }
 
-    /// The first field of that name, parsed.
+    /// Parsed value of the first field with this name; `None` also if it cannot be parsed.
     pub fn parse<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.text(name)?.trim().parse().ok()
     }
 
-    /// Whether a field of that name is present.
+    /// Whether a field with this name is present.
     pub fn has(&self, name: &str) -> bool {
         self.0.iter().any(|field| field.is(name))
     }
 
-    /// Whether some field `name` holds `token` in its comma-separated list.
+    /// Whether `token` is in the comma-separated list of a field with this name.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         let matches = |field: &HeaderField| {
             field
@@ -78,31 +79,31 @@
         self.0.iter().filter(|field| field.is(name)).any(matches)
     }
 
-    /// Whether the peer wants the connection closed after this message.
+    /// Whether the sender asks to close the connection after this message (`Connection: close`).
     pub fn wants_close(&self) -> bool {
         self.has_token("connection", "close")
     }
 
     fn framing(&self) -> Result<Option<BodyFraming>, HeadError> {
         let mut length: Option<u64> = None;
-        let mut lengths = 0;
-        let mut codings = 0;
+        let mut length_fields = 0;
+        let mut coding_fields = 0;
         let mut chunked = false;
         for field in &self.0 {
             if field.is("content-length") {
-                lengths += 1;
+                length_fields += 1;
                 length = Some(parse_length(&field.value).ok_or(HeadError::AmbiguousLength)?);
             } else if field.is("transfer-encoding") {
-                codings += 1;
+                coding_fields += 1;
                 chunked = field.value.trim_ascii().eq_ignore_ascii_case(b"chunked");
             }
         }
-        // Failure guarded: two lengths, or a length beside chunks, let two readers of the same
-        // bytes disagree where a request ends, and a second one hides in the first.
-        if lengths + codings > 1 {
+        // Prevents request smuggling: with two lengths, or a length and chunked coding, two parsers
+        // can disagree on where a request ends, and a second request can hide in the first.
+        if length_fields + coding_fields > 1 {
             return Err(HeadError::AmbiguousLength);
         }
-        if codings == 1 {
+        if coding_fields == 1 {
             return if chunked {
                 Ok(Some(BodyFraming::Chunked))
             } else {
@@ -121,28 +122,28 @@
     std::str::from_utf8(value).ok()?.parse().ok()
 }
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Method.
+    /// Request method.
     pub method: Bytes,
-    /// Request target as sent: path and query.
+    /// Request target as received: path and query.
     pub target: Bytes,
-    /// Whether the message says HTTP/1.1 rather than 1.0.
+    /// Whether the version of the message is HTTP/1.1.
     pub is_http11: bool,
     /// Header fields.
     pub headers: HeaderList,
-    /// How the body is delimited.
+    /// How the end of the body is determined.
     pub framing: BodyFraming,
 }
 
 impl RequestHead {
-    /// Parses a whole head, from its first byte to the empty line.
+    /// Parses a complete head, including the empty line at its end.
     pub(crate) fn parse(bytes: &Bytes) -> Result<Self, HeadError> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut request = httparse::Request::new(&mut fields);
-        check(request.parse(bytes))?;
-        let headers = collect(bytes, request.headers);
+        require_complete(request.parse(bytes))?;
+        let headers = to_header_list(bytes, request.headers);
         let method = request.method.ok_or(HeadError::Malformed)?;
         let target = request.path.ok_or(HeadError::Malformed)?;
         let framing = headers.framing()?.unwrap_or(BodyFraming::Empty);
@@ -155,7 +156,7 @@
         })
     }
 
-    /// The request target as text. `httparse` admits only visible ASCII and UTF-8 there.
+    /// Request target as text. `httparse` accepts only visible ASCII and UTF-8 in it.
     pub fn target_text(&self) -> &str {
         std::str::from_utf8(&self.target).unwrap_or_default()
     }
@@ -166,7 +167,7 @@
         target.split_once('?').map_or(target, |(path, _)| path)
     }
 
-    /// The first query parameter of that name, with percent-encoding undone.
+    /// Value of the first query parameter with this name, percent-decoded.
     pub fn query(&self, name: &str) -> Option<String> {
         let (_, query) = self.target_text().split_once('?')?;
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -174,7 +175,7 @@
         Some(percent_decode(value))
     }
 
-    /// Whether the connection may carry another request afterwards.
+    /// Whether the connection may carry another request after this message.
     pub fn keeps_alive(&self) -> bool {
         if self.is_http11 {
             !self.headers.wants_close()
@@ -203,14 +204,14 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// An answer's head.
+/// The head of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
     /// Status code.
     pub status: u16,
-    /// Reason phrase as sent.
+    /// Reason phrase as received.
     pub reason: Bytes,
-    /// Whether the message says HTTP/1.1 rather than 1.0.
+    /// Whether the version of the message is HTTP/1.1.
     pub is_http11: bool,
     /// Header fields.
     pub headers: HeaderList,
@@ -218,12 +219,12 @@
 }
 
 impl ResponseHead {
-    /// Parses a whole head, from its first byte to the empty line.
+    /// Parses a complete head, including the empty line at its end.
     pub(crate) fn parse(bytes: &Bytes) -> Result<Self, HeadError> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut response = httparse::Response::new(&mut fields);
-        check(response.parse(bytes))?;
-        let headers = collect(bytes, response.headers);
+        require_complete(response.parse(bytes))?;
+        let headers = to_header_list(bytes, response.headers);
         let framing = headers.framing()?;
         let reason = response.reason.unwrap_or_default();
         Ok(Self {
@@ -235,22 +236,25 @@
         })
     }
 
-    /// How the body is delimited, given the request's method.
+    /// How the end of the body is determined, given the method of the request.
     pub fn framing(&self, method: &[u8]) -> BodyFraming {
-        let bodiless = method == b"HEAD" || self.status < 200 || matches!(self.status, 204 | 304);
-        if bodiless {
+        let has_no_body =
+            method == b"HEAD" || self.status < 200 || matches!(self.status, 204 | 304);
+        if has_no_body {
             return BodyFraming::Empty;
         }
         self.framing.unwrap_or(BodyFraming::UntilClose)
     }
 
-    /// Whether the connection may carry another request afterwards.
+    /// Whether the connection may carry another request after this message.
     pub fn keeps_alive(&self) -> bool {
         self.is_http11 && !self.headers.wants_close()
     }
 }
 
-fn check(parsed: Result<httparse::Status<usize>, httparse::Error>) -> Result<(), HeadError> {
+fn require_complete(
+    parsed: Result<httparse::Status<usize>, httparse::Error>,
+) -> Result<(), HeadError> {
     match parsed {
         Ok(httparse::Status::Complete(_)) => Ok(()),
         Err(httparse::Error::TooManyHeaders) => Err(HeadError::TooManyFields),
@@ -258,7 +262,7 @@
     }
 }
 
-fn collect(bytes: &Bytes, fields: &[httparse::Header<'_>]) -> HeaderList {
+fn to_header_list(bytes: &Bytes, fields: &[httparse::Header<'_>]) -> HeaderList {
     let field = |field: &httparse::Header<'_>| HeaderField {
         name: bytes.slice_ref(field.name.as_bytes()),
         value: bytes.slice_ref(field.value),
--- a/crates/h1/src/lib.rs
+++ b/crates/h1/src/lib.rs
@@ -1,15 +1,16 @@
-//! HTTP/1.1 messages on a connection, for the paths where what happened to the bytes matters.
+//! HTTP/1.1 client and server connections that expose the state of the underlying TCP connection.
 //!
-//! An entry must know things that HTTP libraries hide: whether any byte of a request has left,
-//! whether an answer without a length ended by a close or by a reset, whether bytes follow a
-//! complete answer, and whether the caller is still there while its answer is awaited. This crate
-//! shows them. Heads are parsed by `httparse`; framing follows RFC 9112 strictly, because every
-//! message whose end could be read in two ways can smuggle another one.
+//! An entry needs information that HTTP libraries hide: whether any byte of a request was sent,
+//! whether a response without a length ended by a close or by a reset, whether bytes follow a
+//! complete response, and whether the caller is still connected while it waits for its response.
+//! Heads are parsed by `httparse`. Framing follows RFC 9112 strictly, because a message whose end
+//! is ambiguous can smuggle another one.
 //!
-//! [`HttpConnection`] reads and writes; [`RequestHead`] and [`ResponseHead`] are parsed heads whose
-//! headers share one buffer; [`BodyReader`] hands out a body piece by piece; [`HeadWriter`] builds
-//! heads; [`exchange`] makes one call on a connection of its own; [`spawn_accept`] serves a
-//! listener.
+//! [`HttpConnection`] reads and writes messages; [`RequestHead`] and [`ResponseHead`] are parsed
+//! heads whose header fields share one buffer; [`BodyReader`] reads a body incrementally;
+//! [`HeadWriter`] encodes heads; [`exchange`] makes one call on a new connection;
+//! [`PersistentClient`] reuses its connection between calls; [`spawn_accept`] accepts connections
+//! on a listener.
 
 mod accept;
 mod body;
--- a/crates/h1/src/writer.rs
+++ b/crates/h1/src/writer.rs
@@ -1,15 +1,15 @@
-//! Building heads and chunks.
+//! Encoding of message heads and chunks.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Builds the head of a message.
+/// Encodes the head of a message.
 #[derive(Debug)]
 pub struct HeadWriter {
     buffer: BytesMut,
 }
 
 impl HeadWriter {
-    /// Begins a request.
+    /// Starts the head of a request.
     pub fn request(method: &[u8], target: &[u8]) -> Self {
         let mut buffer = BytesMut::with_capacity(512);
         buffer.put_slice(method);
@@ -19,7 +19,7 @@
         Self { buffer }
     }
 
-    /// Begins an answer.
+    /// Starts the head of a response.
     pub fn response(status: u16, reason: &[u8]) -> Self {
         let mut buffer = BytesMut::with_capacity(512);
         buffer.put_slice(format!("HTTP/1.1 {status} ").as_bytes());
@@ -28,7 +28,8 @@
         Self { buffer }
     }
 
-    /// Adds a field. `value` must not hold line breaks; parsed heads and numbers never do.
+    /// Adds a header field. `value` must not contain line breaks; values from parsed heads and
+    /// numbers never do.
     pub fn field(&mut self, name: &[u8], value: &[u8]) -> &mut Self {
         self.buffer.put_slice(name);
         self.buffer.put_slice(b": ");
@@ -37,12 +38,12 @@
         self
     }
 
-    /// Adds a field with text.
+    /// Adds a header field with a text value. It must not contain line breaks.
     pub fn text(&mut self, name: &str, value: &str) -> &mut Self {
         self.field(name.as_bytes(), value.as_bytes())
     }
 
-    /// Ends the head and appends a body of known length.
+    /// Adds `Content-Length`, ends the head and appends `body`.
     pub fn finish_with(mut self, body: &[u8]) -> Bytes {
         self.text("Content-Length", &body.len().to_string());
         self.buffer.put_slice(b"\r\n");
@@ -57,7 +58,7 @@
     }
 }
 
-/// One chunk of a chunked body.
+/// Encodes one chunk of a chunked body.
 pub fn chunk_frame(bytes: &[u8]) -> Bytes {
     let mut frame = BytesMut::with_capacity(bytes.len() + 12);
     frame.put_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
@@ -66,7 +67,7 @@
     frame.freeze()
 }
 
-/// The end of a chunked body.
+/// The last chunk and the empty trailer section of a chunked body.
 pub fn last_chunk() -> &'static [u8] {
     b"0\r\n\r\n"
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading request bodies up to a limit.
+//! Reading of request bodies with a size limit.
 
 use actix_http::Payload;
 use bytes::{Bytes, BytesMut};
@@ -7,13 +7,13 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// Time for reading off what a caller sends beyond the limit; a few MiB arrive within it.
-const READ_OFF_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for discarding the rest of a body that exceeds the limit; a few MiB arrive within it.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
-/// Refuses a larger body, and one that the caller broke off.
+/// Rejects a larger body, and one that the caller did not send completely.
 pub async fn read_body(payload: &mut Payload, limit: usize) -> Result<Bytes, FailureReport> {
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
@@ -23,7 +23,7 @@
         })?;
         if body.len() + chunk.len() > limit {
             let detail = format!("the limit is {limit} bytes");
-            read_off(payload, limit).await;
+            discard_rest(payload, limit).await;
             return Err(FailureReport::not_run(RefusalReason::BodyTooLarge, detail));
         }
         body.extend_from_slice(&chunk);
@@ -31,27 +31,29 @@
     Ok(body.freeze())
 }
 
-/// Reads the rest of a body off, up to `most` bytes and some time.
+/// Reads and discards the rest of a body, until `max_bytes` are exceeded or [`DISCARD_TIMEOUT`] has
+/// passed.
 ///
-/// Failure guarded: the connection is closed with the refusal, and a caller that is still sending is
-/// reset before it has read why. It shows as a broken pipe instead of the answer.
-async fn read_off(payload: &mut Payload, most: usize) {
+/// Without this, the connection is closed together with the error response, and a caller that is
+/// still sending gets a reset before it has read the response: it sees a broken pipe instead of the
+/// reason.
+async fn discard_rest(payload: &mut Payload, max_bytes: usize) {
     let rest = async {
         let mut read = 0;
         while let Some(Ok(chunk)) = payload.next().await {
             read += chunk.len();
-            if read > most {
+            if read > max_bytes {
                 return;
             }
         }
     };
-    tokio::time::timeout(READ_OFF_LIMIT, rest).await.ok();
+    tokio::time::timeout(DISCARD_TIMEOUT, rest).await.ok();
 }
 
 /// Reads a JSON body of at most `limit` bytes.
 ///
 /// # Errors
-/// As [`read_body`], and on JSON that is malformed or does not fit.
+/// Fails like [`read_body`], and on JSON that is malformed or does not match `T`.
 pub async fn read_json<T: DeserializeOwned>(
     payload: &mut Payload,
     limit: usize,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,15 +1,16 @@
-//! The HTTP client, with two guards that `awc` leaves to its user.
+//! HTTP client with two checks that `awc` does not make.
 //!
-//! First, a broken answer must be seen to be broken. `awc` ends a body without an error when the
-//! connection closes between two chunks, so half an answer would pass for a whole one. The
-//! client's connections therefore report the other side's close as an error: a body then ends
-//! without one only at its declared length or its last chunk. An answer that is delimited by
-//! closing the connection is read by `awc` as an empty one; [`check_framing`] refuses it, because
-//! nobody could tell whether it is whole.
+//! The first detects truncated responses. `awc` ends a body without an error when the connection
+//! closes between two chunks, so a truncated response would look complete. The client's
+//! connections therefore report a close by the server as an error: a body then ends without an
+//! error only at its declared length or its last chunk. `awc` reads a response that is delimited by
+//! closing the connection as an empty one; [`check_framing`] rejects it, because truncation cannot
+//! be detected.
 //!
-//! Second, whether a failed request may have run. `awc` reports a connection that closed after the
-//! request was written as a connect error ([`ConnectError::Disconnected`]); taking every connect
-//! error for "not run" would run a request twice. [`classify_send_error`] knows the difference.
+//! The second finds out whether a failed request may have run. `awc` reports a connection that
+//! closed after the request was written as a connect error ([`ConnectError::Disconnected`]). If
+//! every connect error counted as "not run", a retry could execute the request twice.
+//! [`classify_send_error`] tells these cases apart.
 
 use actix_http::{Method, StatusCode, header};
 use actix_rt::net::{ActixStream, Ready};
@@ -30,12 +31,12 @@
 /// Limits of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientOptions {
-    /// How long a connection may take.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Most connections to one address.
+    /// Upper limit of connections to one address.
     pub max_connections: usize,
-    /// How long an idle connection is kept; must be shorter than the servers' own limit, so that
-    /// a request is seldom sent into a closing connection.
+    /// How long an idle connection is kept open. Must be shorter than the keep-alive time of the
+    /// servers, so that a request is seldom sent on a connection that the server is closing.
     pub keep_alive: Duration,
 }
 
@@ -49,16 +50,16 @@
     }
 }
 
-/// A client of the current thread. It follows no redirects (a redirect would send a request twice)
-/// and has no time limit of its own; callers set one for each request.
+/// Creates a client for the current thread. It follows no redirects, because a redirect would send
+/// a request twice, and has no request timeout; callers set one for each request.
 pub fn http_client(options: ClientOptions) -> awc::Client {
-    let dial = actix_tls::connect::Connector::default().service().map(|connection| {
+    let connect = actix_tls::connect::Connector::default().service().map(|connection| {
         let (stream, connection): (TcpStream, _) = connection.replace_io(());
         stream.set_nodelay(true).ok();
-        connection.replace_io(UnendingStream(stream)).1
+        connection.replace_io(EofErrorStream(stream)).1
     });
     let connector = awc::Connector::new()
-        .connector(dial)
+        .connector(connect)
         .timeout(options.connect_timeout)
         .limit(options.max_connections)
         .conn_keep_alive(options.keep_alive);
@@ -70,7 +71,7 @@
         .finish()
 }
 
-/// What a failed send says about the request.
+/// Converts a send error to a failure report, which says whether the request may have run.
 pub fn classify_send_error(error: &SendRequestError) -> FailureReport {
     let detail = error.to_string();
     match error {
@@ -87,31 +88,31 @@
     }
 }
 
-/// Refuses an answer of which nobody could tell where it ends.
+/// Rejects a response whose end cannot be determined.
 ///
 /// # Errors
-/// Fails on a body with neither a declared length nor chunks.
-pub fn check_framing(answer: &awc::ClientResponse, method: &Method) -> Result<(), FailureReport> {
-    let status = answer.status();
-    let bodiless = *method == Method::HEAD
+/// Fails if the response has a body with neither a declared length nor chunked coding.
+pub fn check_framing(response: &awc::ClientResponse, method: &Method) -> Result<(), FailureReport> {
+    let status = response.status();
+    let has_no_body = *method == Method::HEAD
         || status.is_informational()
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED;
-    let headers = answer.headers();
-    let framed = headers.contains_key(header::CONTENT_LENGTH)
+    let headers = response.headers();
+    let has_framing = headers.contains_key(header::CONTENT_LENGTH)
         || headers.contains_key(header::TRANSFER_ENCODING);
-    if bodiless || framed {
+    if has_no_body || has_framing {
         return Ok(());
     }
     let detail = "the answer has neither a length nor chunks, so its end cannot be told";
     Err(FailureReport::may_have_run(RefusalReason::BrokenAnswer, detail))
 }
 
-/// A stream whose end is an error. See the module's text.
+/// TCP stream that reports end of file as an error, see the module documentation.
 #[derive(Debug)]
-struct UnendingStream(TcpStream);
+struct EofErrorStream(TcpStream);
 
-impl AsyncRead for UnendingStream {
+impl AsyncRead for EofErrorStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -127,7 +128,7 @@
     }
 }
 
-impl AsyncWrite for UnendingStream {
+impl AsyncWrite for EofErrorStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -157,7 +158,7 @@
     }
 }
 
-impl ActixStream for UnendingStream {
+impl ActixStream for EofErrorStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.0, cx)
     }
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,12 +1,13 @@
-//! Which headers pass from one hop to the next.
+//! Selection of the headers that are forwarded to the next hop.
 
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// Prefix of headers that only our own processes set.
-const OWN_PREFIX: &str = "egretseam-";
+/// Prefix of headers that only egretseam processes may set.
+const INTERNAL_PREFIX: &str = "egretseam-";
 
-/// Headers that describe one connection or are set anew on each hop.
-const HOP_HEADERS: &[HeaderName] = &[
+/// Headers that describe one connection, are set anew on each hop, or hold the caller's
+/// credentials.
+const UNFORWARDED_HEADERS: &[HeaderName] = &[
     header::CONNECTION,
     header::TRANSFER_ENCODING,
     header::TE,
@@ -21,18 +22,19 @@
     header::AUTHORIZATION,
 ];
 
-/// Headers of a message that belong to the message itself. The caller's key ends at the entry, and
-/// headers that steer our own processes never come from outside.
+/// Returns the end-to-end headers of a message, to be sent to the next hop. The caller's API key is
+/// not forwarded beyond the entry, and headers that control egretseam processes are not accepted
+/// from outside.
 pub fn forwarded_headers(headers: &HeaderMap) -> impl Iterator<Item = (&HeaderName, &HeaderValue)> {
-    let passes = |name: &HeaderName| {
-        !HOP_HEADERS.contains(name)
-            && !name.as_str().starts_with(OWN_PREFIX)
+    let is_forwarded = |name: &HeaderName| {
+        !UNFORWARDED_HEADERS.contains(name)
+            && !name.as_str().starts_with(INTERNAL_PREFIX)
             && name.as_str() != "keep-alive"
     };
-    headers.iter().filter(move |(name, _)| passes(name))
+    headers.iter().filter(move |(name, _)| is_forwarded(name))
 }
 
-/// A header's value as text.
+/// Value of a header as text; `None` also if it is not printable ASCII.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,10 @@
-//! What every daemon of ours needs around its HTTP listeners: an accept loop on the daemon's own
-//! thread, limits on bodies and connections, problem documents (RFC 9457) that carry the verdict,
-//! token checks in constant time, and the metrics registry behind `/metrics`.
+//! HTTP server and client support shared by the daemons: an accept loop on the daemon's own thread,
+//! limits on bodies and connections, problem documents (RFC 9457) with the verdict, token checks in
+//! constant time, and the metrics registry behind `/metrics`.
 //!
-//! `actix-server` is not used: it moves connections to worker threads, and a daemon of ours is one
-//! thread that owns its tables without locks. The HTTP itself is `actix-http` and `awc`.
+//! HTTP itself is implemented by `actix-http` and `awc`. `actix-server` is not used: it moves
+//! connections to worker threads, whereas a daemon is a single thread that owns its tables without
+//! locks.
 
 mod body;
 mod client;
--- a/crates/http/src/metrics.rs
+++ b/crates/http/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters of one daemon, in its own registry so that several daemons in one process stay apart.
+//! Metrics of one daemon, in a registry of its own so that several daemons in one process do not
+//! share metrics.
 
 use egretseam_proto::{FailureReport, RefusalReason};
 use prometheus::{
@@ -21,8 +22,8 @@
 }
 
 impl DaemonMetrics {
-    /// A registry with a counter for each refusal and retry reason, all present from the start so
-    /// that a rate over them never misses the first event.
+    /// Creates a registry with a counter for each refusal and retry reason. All counters exist from
+    /// the start, so that a rate over them does not miss the first event.
     pub fn new() -> Self {
         let registry = Registry::new();
         let refusals = reason_counter(
@@ -38,42 +39,43 @@
         Self { registry, refusals, retries }
     }
 
-    /// Counts a refusal.
+    /// Counts a rejected or failed request under its reason.
     pub fn count_refusal(&self, report: &FailureReport) {
         self.refusals.with_label_values(&[report.reason.slug()]).inc();
     }
 
-    /// Counts a retry.
+    /// Counts a retry under the reason of the failed attempt.
     pub fn count_retry(&self, reason: RefusalReason) {
         self.retries.with_label_values(&[reason.slug()]).inc();
     }
 
-    /// Refusals counted for `reason`.
+    /// Number of rejected or failed requests with this reason.
     pub fn refusals(&self, reason: RefusalReason) -> u64 {
         self.refusals.with_label_values(&[reason.slug()]).get()
     }
 
-    /// Retries counted, over all reasons.
+    /// Number of retries over all reasons.
     pub fn retries(&self) -> u64 {
         let count = |reason: &RefusalReason| self.retries.with_label_values(&[reason.slug()]).get();
         RefusalReason::ALL.iter().map(count).sum()
     }
 
-    /// A new counter. `name` must be unique within the daemon.
+    /// Creates a counter. `name` must be unique within the daemon.
     pub fn counter(&self, name: &str, help: &str) -> IntCounter {
         let counter = IntCounter::new(name, help).expect("a valid metric name");
         self.register(counter.clone());
         counter
     }
 
-    /// A new gauge. `name` must be unique within the daemon.
+    /// Creates a gauge. `name` must be unique within the daemon.
     pub fn gauge(&self, name: &str, help: &str) -> IntGauge {
         let gauge = IntGauge::new(name, help).expect("a valid metric name");
         self.register(gauge.clone());
         gauge
     }
 
-    /// A new histogram of seconds, from 0.5 ms to about 16 s.
+    /// Creates a histogram in seconds, with buckets from 0.5 ms to about 16 s. `name` must be
+    /// unique within the daemon.
     pub fn seconds(&self, name: &str, help: &str) -> Histogram {
         let buckets = exponential_buckets(0.000_5, 2.0, 16).expect("valid buckets");
         let options = HistogramOpts::new(name, help).buckets(buckets);
@@ -82,7 +84,7 @@
         histogram
     }
 
-    /// All metrics in Prometheus' text format.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut buffer = Vec::new();
         let families = self.registry.gather();
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers: JSON, text, and problem documents with the verdict.
+//! Responses: JSON, text, and problem documents with the verdict.
 
 use crate::server::HttpReply;
 use actix_http::{
@@ -10,9 +10,9 @@
 };
 use serde::Serialize;
 
-/// RFC 9457's media type.
-const PROBLEM_TYPE: &str = "application/problem+json";
-/// Prefix of the `type` member, followed by the reason's slug.
+/// Media type of problem documents (RFC 9457).
+const PROBLEM_MEDIA_TYPE: &str = "application/problem+json";
+/// Prefix of the `type` member; the slug of the reason follows.
 const PROBLEM_BASE: &str = "urn:egretseam:refusal:";
 
 #[derive(Serialize)]
@@ -25,7 +25,7 @@
     verdict: &'a str,
 }
 
-/// The answer for a failure.
+/// Builds the error response for a failure.
 pub fn failure_reply(report: &FailureReport) -> HttpReply {
     let document = ProblemDocument {
         r#type: format!("{PROBLEM_BASE}{}", report.reason),
@@ -37,7 +37,7 @@
     };
     let status = StatusCode::from_u16(report.reason.status()).expect("a fixed valid status");
     let mut builder = Response::build(status);
-    builder.insert_header(("content-type", PROBLEM_TYPE));
+    builder.insert_header(("content-type", PROBLEM_MEDIA_TYPE));
     builder.insert_header((VERDICT_HEADER, report.verdict.as_str()));
     builder.insert_header((REASON_HEADER, report.reason.slug()));
     if let Some(seconds) = report.reason.retry_after_seconds() {
@@ -46,22 +46,22 @@
     finish_json(builder, &document)
 }
 
-/// A JSON answer.
+/// Builds a JSON response.
 pub fn json_reply<T: Serialize>(status: StatusCode, value: &T) -> HttpReply {
     let mut builder = Response::build(status);
     builder.insert_header(("content-type", "application/json"));
     finish_json(builder, value)
 }
 
-/// A plain text answer.
+/// Builds a plain text response.
 pub fn text_reply(status: StatusCode, text: impl Into<String>) -> HttpReply {
     let mut builder = Response::build(status);
     builder.insert_header(("content-type", "text/plain; charset=utf-8"));
     builder.body(text.into()).map_into_boxed_body()
 }
 
-/// The failure that an answer of one of our processes reports, if it reports one. An answer of a
-/// target, whatever its status, has no verdict header and is an answer.
+/// Reads the failure that an egretseam process reports in the headers of its response, if there is
+/// one. A response of a target has no verdict header and is no failure, whatever its status.
 pub fn failure_from_headers(headers: &HeaderMap) -> Option<FailureReport> {
     let text = |name| headers.get(HeaderName::from_static(name))?.to_str().ok();
     let verdict: RequestVerdict = text(VERDICT_HEADER)?.parse().ok()?;
@@ -70,6 +70,6 @@
 }
 
 fn finish_json<T: Serialize>(mut builder: ResponseBuilder, value: &T) -> HttpReply {
-    let body = serde_json::to_vec(value).expect("our own types encode to JSON");
+    let body = serde_json::to_vec(value).expect("response types serialize to JSON");
     builder.body(body).map_into_boxed_body()
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! An accept loop on the current thread, with a graceful stop.
+//! HTTP server on the current thread, with graceful shutdown.
 
 use actix_http::{HttpService, Request, Response, body::BoxBody};
 use actix_service::{Service, ServiceFactory};
@@ -13,27 +13,26 @@
 };
 use tokio::sync::watch;
 
-/// An answer of ours.
+/// A response of a daemon.
 pub type HttpReply = Response<BoxBody>;
 
-/// How long an accept loop rests after the system refused a connection, for example for want of
-/// file descriptors.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+/// Delay before the next `accept` after one failed, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a listener's requests are handed to.
+/// Answers the requests that arrive on a listener.
 pub trait HttpHandler {
-    /// Answers one request.
+    /// Returns the response to one request.
     fn handle(self: Rc<Self>, request: Request) -> LocalBoxFuture<'static, HttpReply>;
 }
 
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerOptions {
-    /// Most connections at a time; further ones are closed at once.
+    /// Upper limit of open connections; further ones are closed at once.
     pub max_connections: usize,
-    /// How long a caller may take to send a request's head.
+    /// Timeout for receiving the head of a request.
     pub head_timeout: Duration,
-    /// How long an idle connection is kept.
+    /// How long an idle connection is kept open.
     pub keep_alive: Duration,
 }
 
@@ -47,53 +46,53 @@
     }
 }
 
-/// A running listener.
+/// Handle of a running server.
 #[derive(Debug)]
 pub struct ServerHandle {
     address: SocketAddr,
     stop: watch::Sender<bool>,
     connections: Rc<Cell<usize>>,
-    refused: Rc<Cell<u64>>,
+    rejected: Rc<Cell<u64>>,
 }
 
 impl ServerHandle {
-    /// Where it listens.
+    /// Address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.get()
     }
 
-    /// Connections closed at once because the limit was reached.
-    pub fn refused(&self) -> u64 {
-        self.refused.get()
+    /// Number of connections closed at once because the limit was reached.
+    pub fn rejected(&self) -> u64 {
+        self.rejected.get()
     }
 
-    /// Stops accepting and closes idle connections; requests in progress finish.
+    /// Stops accepting connections and closes idle ones; requests in progress finish.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
 
-    /// Stops, and waits until every connection has ended or `limit` has passed. Returns whether
-    /// all had ended.
-    pub async fn drain(&self, limit: Duration) -> bool {
-        const POLL: Duration = Duration::from_millis(10);
+    /// Stops the server and waits until all connections are closed or `timeout` has passed. Returns
+    /// whether all connections are closed.
+    pub async fn drain(&self, timeout: Duration) -> bool {
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
         self.stop();
-        let deadline = tokio::time::Instant::now() + limit;
+        let deadline = tokio::time::Instant::now() + timeout;
         while self.connections.get() > 0 {
             if tokio::time::Instant::now() >= deadline {
                 return false;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         true
     }
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts a connection as open until dropped.
 struct ConnectionGuard(Rc<Cell<usize>>);
 
 impl ConnectionGuard {
@@ -109,7 +108,7 @@
     }
 }
 
-/// Serves `listener` on the current thread until stopped.
+/// Serves requests on `listener` on the current thread until stopped.
 ///
 /// # Errors
 /// Fails if the listener cannot be made non-blocking.
@@ -123,10 +122,14 @@
     let listener = tokio::net::TcpListener::from_std(listener)?;
     let (stop, stopped) = watch::channel(false);
     let connections = Rc::new(Cell::new(0));
-    let refused = Rc::new(Cell::new(0));
-    let handle =
-        ServerHandle { address, stop, connections: connections.clone(), refused: refused.clone() };
-    let accept = accept_loop(listener, handler, options, stopped, connections, refused);
+    let rejected = Rc::new(Cell::new(0));
+    let handle = ServerHandle {
+        address,
+        stop,
+        connections: connections.clone(),
+        rejected: rejected.clone(),
+    };
+    let accept = accept_loop(listener, handler, options, stopped, connections, rejected);
     actix_rt::spawn(accept);
     Ok(handle)
 }
@@ -137,14 +140,14 @@
     options: ServerOptions,
     mut stopped: watch::Receiver<bool>,
     connections: Rc<Cell<usize>>,
-    refused: Rc<Cell<u64>>,
+    rejected: Rc<Cell<u64>>,
 ) {
-    let signal = stopped.clone();
+    let shutdown = stopped.clone();
     let service = HttpService::build()
         .client_request_timeout(options.head_timeout)
         .keep_alive(options.keep_alive)
         .tcp_nodelay(true)
-        .graceful_shutdown_signal(move || wait_for_stop(signal.clone()))
+        .graceful_shutdown_signal(move || wait_for_stop(shutdown.clone()))
         .finish(move |request: Request| {
             let handler = handler.clone();
             async move { Ok::<_, Infallible>(handler.handle(request).await) }
@@ -157,7 +160,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = wait_for_stop_ref(&mut stopped) => return,
+            () = wait_until_stopped(&mut stopped) => return,
         };
         match accepted {
             Ok((stream, _)) if connections.get() < options.max_connections => {
@@ -166,26 +169,26 @@
                 actix_rt::spawn(async move {
                     let _guard = guard;
                     if let Err(error) = service.call(stream).await {
-                        tracing::debug!(%error, "connection ended");
+                        tracing::debug!(%error, "connection closed with an error");
                     }
                 });
             }
-            Ok(_) => refused.set(refused.get() + 1),
+            Ok(_) => rejected.set(rejected.get() + 1),
             Err(error) => {
-                tracing::warn!(%error, "accept failed");
-                tokio::time::sleep(ACCEPT_BACKOFF).await;
+                tracing::warn!(%error, "failed to accept a connection");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 async fn wait_for_stop(mut stopped: watch::Receiver<bool>) {
-    wait_for_stop_ref(&mut stopped).await;
+    wait_until_stopped(&mut stopped).await;
 }
 
-async fn wait_for_stop_ref(stopped: &mut watch::Receiver<bool>) {
+async fn wait_until_stopped(stopped: &mut watch::Receiver<bool>) {
     if stopped.wait_for(|stop| *stop).await.is_err() {
-        // The handle was dropped without a stop: serve on.
+        // The handle was dropped without a call to `stop`: the server keeps running.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/http/src/token.rs
+++ b/crates/http/src/token.rs
@@ -1,60 +1,60 @@
-//! Shared secrets of operators and joining processes.
+//! Shared secrets that authenticate operators and processes of the fleet.
 
 use actix_http::header::{AUTHORIZATION, HeaderMap};
 use std::{fmt, fs, io, path::Path};
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// Shortest accepted token in bytes.
+/// Minimum length of a token.
 const MIN_TOKEN_BYTES: usize = 16;
 
-/// A token file that cannot be used.
+/// Why a token file cannot be used.
 #[derive(Debug, Error)]
 pub enum TokenError {
-    /// Not readable.
-    #[error("read token file {path}: {source}")]
+    /// The file cannot be read.
+    #[error("cannot read token file {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// Too short to be a secret.
-    #[error("token file {0} holds fewer than {MIN_TOKEN_BYTES} characters")]
+    /// The token is too short to be a secret.
+    #[error("token in file {0} is too short, expected at least {MIN_TOKEN_BYTES} bytes")]
     TooShort(String),
 }
 
-/// A secret that is compared in constant time and never printed.
+/// A secret token that is compared in constant time and never printed.
 #[derive(Clone)]
 pub struct SecretToken(String);
 
 impl SecretToken {
-    /// Reads the first line of a file.
+    /// Reads the token from the first line of a file.
     ///
     /// # Errors
-    /// Fails on a file that is unreadable or holds too short a token.
+    /// Fails if the file cannot be read or the token is too short.
     pub fn read(path: &Path) -> Result<Self, TokenError> {
-        let shown = path.display().to_string();
+        let path_text = path.display().to_string();
         let text = fs::read_to_string(path)
-            .map_err(|source| TokenError::Unreadable { path: shown.clone(), source })?;
+            .map_err(|source| TokenError::Unreadable { path: path_text.clone(), source })?;
         let token = text.lines().next().unwrap_or_default().trim();
         if token.len() < MIN_TOKEN_BYTES {
-            return Err(TokenError::TooShort(shown));
+            return Err(TokenError::TooShort(path_text));
         }
         Ok(Self(token.to_owned()))
     }
 
-    /// A token given in memory, for tests and for `egretseam local`.
+    /// Creates a token from text, for tests and for `egretseam local`.
     pub fn from_text(text: &str) -> Self {
         Self(text.to_owned())
     }
 
-    /// The secret itself, for a request's header.
+    /// The secret itself, for the header of a request.
     pub fn expose(&self) -> &str {
         &self.0
     }
 
-    /// Whether `offered` is this token; takes the same time wherever they differ.
+    /// Whether `offered` is this token. The time taken does not depend on where they differ.
     pub fn matches(&self, offered: &str) -> bool {
         self.0.as_bytes().ct_eq(offered.as_bytes()).into()
     }
@@ -66,7 +66,7 @@
     }
 }
 
-/// The token of an `Authorization: Bearer` header.
+/// Reads the token of an `Authorization: Bearer` header.
 pub fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::trim)
--- a/tests/all/kept_client.rs
+++ b/tests/all/kept_client.rs
@@ -1,4 +1,4 @@
-//! Calls over a connection that is kept between them.
+//! Calls over a persistent connection.
 
 use crate::support::block_on;
 use egretseam_h1::{CallRequest, ExchangeError, PersistentClient};
@@ -18,31 +18,34 @@
     max_body: 1_024,
 };
 
-/// Answers one request on a connection, then closes it.
-fn answer_once(listener: &TcpListener) {
+/// Accepts one connection, responds to one request on it and closes it.
+fn serve_once(listener: &TcpListener) {
     let (mut stream, _) = listener.accept().expect("a connection");
     let mut buffer = [0; 4096];
-    let read = stream.read(&mut buffer).expect("a request");
-    assert!(read > 0, "the request arrived");
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("it is written");
+    let read = stream.read(&mut buffer).expect("a request is read");
+    assert!(read > 0, "connection closed before the request");
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        .expect("the response is written");
 }
 
-/// Guards against an order that reaches an engine started again since its report.
+/// Without this, an order could reach an engine that restarted after its last status report: the
+/// client would reconnect and send the order to the new process.
 #[test]
-fn a_call_on_a_kept_connection_reaches_no_later_run_of_the_server() {
+fn a_call_on_a_reused_connection_does_not_reach_a_restarted_server() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let server = thread::spawn(move || {
-        answer_once(&listener);
-        answer_once(&listener);
+        serve_once(&listener);
+        serve_once(&listener);
     });
     block_on(async move {
         let mut client = PersistentClient::new(address);
-        client.call(&CALL).await.expect("an answer");
+        client.call(&CALL).await.expect("a response");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let kept = client.call_reused(&CALL).await;
-        assert!(matches!(kept, Err(ExchangeError::Connect(_))), "{kept:?}");
-        client.call(&CALL).await.expect("an answer of the next run");
+        let reused = client.call_reused(&CALL).await;
+        assert!(matches!(reused, Err(ExchangeError::Connect(_))), "{reused:?}");
+        client.call(&CALL).await.expect("a response on a new connection");
     });
-    server.join().expect("it got two requests");
+    server.join().expect("the server got two requests");
 }
