--- a/crates/h1/src/connection.rs
+++ b/crates/h1/src/connection.rs
@@ -216,7 +216,7 @@
     /// Closes with a reset, so that the peer does not take a truncated message for a complete one.
     pub fn abort(self) {
         let socket = SockRef::from(&self.stream);
-        // Best effort: without the reset, the missing end of the framing still shows the truncation.
+        // Best effort: without the reset, the peer still detects the missing end of the framing.
         socket.set_linger(Some(Duration::ZERO)).ok();
     }
 
--- a/crates/h1/src/exchange.rs
+++ b/crates/h1/src/exchange.rs
@@ -22,7 +22,8 @@
     pub content_type: &'a str,
     /// Request body.
     pub body: &'a [u8],
-    /// Timeout of the whole call, including the connect; [`HttpConnection::call`] does not apply it.
+    /// Timeout of the whole call, including the connect. [`HttpConnection::call`] does not apply
+    /// it.
     pub timeout: Duration,
     /// Upper limit of the response body in bytes.
     pub max_body: usize,
