--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -130,7 +130,7 @@
 
     /// Whether the entry sends requests to the target of that identity.
     pub fn knows_target(&self, id: &str) -> bool {
-        self.entry.as_ref().is_some_and(|entry| entry.knows_target(id))
+        self.entry.as_ref().is_some_and(|entry| entry.is_target_ready(id))
     }
 
     /// Takes changed settings in. Seeds change in a running process; a change of anything else is
@@ -209,14 +209,16 @@
                 window: settings.retry_window,
                 ..RetryPolicy::default()
             },
-            version_limit: settings.version_limit.saturating_sub(VERSION_MARGIN),
+            staleness_bound: settings.staleness_bound.saturating_sub(VERSION_MARGIN),
             address_lifetime: ADDRESS_LIFETIME,
-            far_address_lifetime: policy.far_lifetime.unwrap_or(FAR_ADDRESS_LIFETIME),
+            cross_zone_address_lifetime: policy
+                .cross_zone_address_lifetime
+                .unwrap_or(FAR_ADDRESS_LIFETIME),
             detects_retries: policy.detects_retries.unwrap_or(true),
-            most_attempts: policy.most_attempts.map_or(u32::MAX, |most| most as u32),
-            callers_stay: policy.callers_stay.unwrap_or(DEFAULT_STREAM_IDLE_TIMEOUT),
-            hears_loads: policy.hears_loads.unwrap_or(true),
-            stop_limit: settings.stop_limit,
+            max_attempts: policy.max_attempts.map_or(u32::MAX, |most| most as u32),
+            stream_idle_timeout: policy.stream_idle_timeout.unwrap_or(DEFAULT_STREAM_IDLE_TIMEOUT),
+            uses_load_datagrams: policy.uses_load_datagrams.unwrap_or(true),
+            stop_limit: settings.stop_timeout,
         };
         let runtime = GatewayRuntime::start(options, dialect, listeners, self.metrics);
         runtime.context("start the entry")
@@ -231,7 +233,7 @@
         let log_address = self.peer_address(LOG_PORT);
         let feed_address = self.peer_address(FEED_PORT);
         let listeners = RegistrarListeners {
-            calls: self.bind(control.call_address)?,
+            http: self.bind(control.http_address)?,
             peers: self.bind(log_address)?,
             feeds: self.bind(feed_address)?,
             loads: self.bind_datagrams(FEED_PORT)?,
@@ -243,9 +245,9 @@
         member.snapshot_every = SNAPSHOT_EVERY;
         member.formation = Some(GroupFormation {
             seeds: self.seeds.logs.clone(),
-            founding: settings.founding,
+            founding: settings.bootstrap,
             repair: RepairPolicy {
-                voters: (settings.tolerated_losses * 2 + 1).max(3) as usize,
+                voters: (settings.tolerated_failures * 2 + 1).max(3) as usize,
                 replace_after: REPLACE_AFTER,
             },
         });
@@ -280,7 +282,7 @@
             planner: PlannerPolicy {
                 max_peer_fetches: PEER_FETCHES,
                 max_fetches_per_peer: 1,
-                max_seeders: policy.seeders.map_or(SEEDERS, |seeders| seeders as usize),
+                max_seeders: policy.max_seeders.map_or(SEEDERS, |seeders| seeders as usize),
                 cross_zone_delay: ZONE_PATIENCE,
                 ..PlannerPolicy::default()
             },
@@ -288,7 +290,7 @@
             fetches_early: policy.fetches_early.unwrap_or(true),
             finishes_older: policy.finishes_older.unwrap_or(true),
             switch_timing: SwitchTiming {
-                staleness_bound: self.settings.version_limit,
+                staleness_bound: self.settings.staleness_bound,
                 reserve: SWITCH_RESERVE,
             },
         };
@@ -309,17 +311,17 @@
 fn placement_policy(overrides: &PolicyOverrides) -> PlacementPolicy {
     let usual = PlacementPolicy::default();
     PlacementPolicy {
-        late_max_fill: overrides.late_fill.unwrap_or(usual.late_max_fill),
-        late_prefills: overrides.late_reading.unwrap_or(usual.late_prefills),
-        cross_zone_penalty: overrides.zone_charge.unwrap_or(usual.cross_zone_penalty),
+        late_max_fill: overrides.late_max_fill.unwrap_or(usual.late_max_fill),
+        late_prefills: overrides.late_prefills.unwrap_or(usual.late_prefills),
+        cross_zone_penalty: overrides.cross_zone_penalty.unwrap_or(usual.cross_zone_penalty),
         free_share_exponent: overrides
-            .favour
-            .map_or(usual.free_share_exponent, |favour| favour as i32),
-        old_version_penalty: overrides.old_version_charge.unwrap_or(usual.old_version_penalty),
-        slowness_penalty: overrides.slow_charge.unwrap_or(usual.slowness_penalty),
-        cold_start_penalty: overrides.cold_charge.unwrap_or(usual.cold_start_penalty),
-        limits_entry_share: overrides.shared_places.unwrap_or(usual.limits_entry_share),
-        skips_hung: overrides.skips_hanging.unwrap_or(usual.skips_hung),
+            .free_share_exponent
+            .map_or(usual.free_share_exponent, |exponent| exponent as i32),
+        old_version_penalty: overrides.old_version_penalty.unwrap_or(usual.old_version_penalty),
+        slowness_penalty: overrides.slowness_penalty.unwrap_or(usual.slowness_penalty),
+        cold_start_penalty: overrides.cold_start_penalty.unwrap_or(usual.cold_start_penalty),
+        limits_entry_share: overrides.limits_entry_share.unwrap_or(usual.limits_entry_share),
+        skips_hung: overrides.skips_hung.unwrap_or(usual.skips_hung),
         ejects: overrides.ejects.unwrap_or(usual.ejects),
         ..usual
     }
@@ -329,9 +331,11 @@
 fn wait_policy(overrides: &PolicyOverrides) -> WaitPolicy {
     let usual = WaitPolicy::default();
     WaitPolicy {
-        late_limit: overrides.late_wait.unwrap_or(usual.late_limit),
-        outage_limit: overrides.outage_wait.unwrap_or(usual.outage_limit),
-        overload_objective_share: overrides.quick_share.unwrap_or(usual.overload_objective_share),
+        late_limit: overrides.late_limit.unwrap_or(usual.late_limit),
+        outage_limit: overrides.outage_limit.unwrap_or(usual.outage_limit),
+        overload_objective_share: overrides
+            .overload_objective_share
+            .unwrap_or(usual.overload_objective_share),
         ..usual
     }
 }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,4 +1,5 @@
-//! Claims of keys, batched: while one command is under way, further claims wait and share the next.
+//! Claims idempotency keys in batches: while one command is in flight, further claims are queued
+//! and sent together in the next.
 
 use egretseam_catalog::{CatalogCommand, CatalogReply, ClaimOutcome, ClaimRequest, RebindRequest};
 use egretseam_proto::{FailureReport, RefusalReason};
@@ -10,10 +11,9 @@
 };
 use tokio::sync::oneshot;
 
-/// How long a claim may take.
-const CLAIM_LIMIT: Duration = Duration::from_secs(4);
-/// Most claims in one command.
-const BATCH_LENGTH: usize = 256;
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of claims in one command.
+const MAX_CLAIMS_PER_BATCH: usize = 256;
 
 type ClaimReply = Result<ClaimOutcome, FailureReport>;
 
@@ -26,10 +26,10 @@
 struct BatchQueue {
     waiting: RefCell<Vec<WaitingClaim>>,
     sending: Cell<bool>,
-    batches: Cell<u64>,
+    batches_sent: Cell<u64>,
 }
 
-/// Claims of one entry.
+/// Sends the claims of one entry to control.
 pub(crate) struct ClaimBatcher {
     control: Rc<ControlClient>,
     queue: Rc<BatchQueue>,
@@ -40,17 +40,17 @@
         Self { control, queue: Rc::default() }
     }
 
-    /// Commands sent so far.
-    pub(crate) fn batches(&self) -> u64 {
-        self.queue.batches.get()
+    /// Number of commands sent so far.
+    pub(crate) fn batches_sent(&self) -> u64 {
+        self.queue.batches_sent.get()
     }
 
-    /// Binds a key, or finds what it is bound to.
+    /// Binds a key to an incarnation, or finds the incarnation that it is bound to.
     ///
     /// # Errors
-    /// Fails with `not-run` in every case: the request is sent only after a claim has succeeded.
-    /// That holds although the claim itself may have been committed, because nothing but the
-    /// request itself has an effect, and a resend finds the claim and goes on from it.
+    /// Every failure has the verdict `not-run`, because a request is sent only after its claim
+    /// succeeded. This is also correct if the claim was committed: a claim alone has no effect, and
+    /// a retry finds it and continues with the incarnation it names.
     pub(crate) async fn claim(&self, request: ClaimRequest) -> ClaimReply {
         let (reply, outcome) = oneshot::channel();
         self.queue.waiting.borrow_mut().push(WaitingClaim { request, reply });
@@ -60,13 +60,14 @@
         outcome.await.unwrap_or_else(|_| Err(not_claimed("the entry is stopping")))
     }
 
-    /// Moves a claim away from an agent run that refused the key for good.
+    /// Moves a claim to another incarnation, given a proof that the current one has not run the
+    /// request and never will.
     ///
     /// # Errors
     /// As [`ClaimBatcher::claim`].
     pub(crate) async fn rebind(&self, request: RebindRequest) -> ClaimReply {
         let command = CatalogCommand::Rebind(request);
-        let reply = self.control.submit(&command, CLAIM_LIMIT).await;
+        let reply = self.control.submit(&command, CLAIM_TIMEOUT).await;
         match reply.map_err(claim_failure)? {
             CatalogReply::Claims(mut outcomes) if outcomes.len() == 1 => Ok(outcomes.remove(0)),
             other => Err(not_claimed(&format!("unexpected reply {other:?}"))),
@@ -78,21 +79,21 @@
     loop {
         let batch: Vec<WaitingClaim> = {
             let mut waiting = queue.waiting.borrow_mut();
-            let count = waiting.len().min(BATCH_LENGTH);
+            let count = waiting.len().min(MAX_CLAIMS_PER_BATCH);
             waiting.drain(..count).collect()
         };
         if batch.is_empty() {
             queue.sending.set(false);
             return;
         }
-        queue.batches.set(queue.batches.get() + 1);
+        queue.batches_sent.set(queue.batches_sent.get() + 1);
         let requests = batch.iter().map(|claim| claim.request.clone()).collect();
-        let reply = control.submit(&CatalogCommand::Claim(requests), CLAIM_LIMIT).await;
-        answer_batch(batch, reply);
+        let reply = control.submit(&CatalogCommand::Claim(requests), CLAIM_TIMEOUT).await;
+        reply_to_batch(batch, reply);
     }
 }
 
-fn answer_batch(batch: Vec<WaitingClaim>, reply: Result<CatalogReply, SubmitError>) {
+fn reply_to_batch(batch: Vec<WaitingClaim>, reply: Result<CatalogReply, SubmitError>) {
     match reply {
         Ok(CatalogReply::Claims(outcomes)) if outcomes.len() == batch.len() => {
             for (claim, outcome) in batch.into_iter().zip(outcomes) {
