--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Checked settings of a process in a fleet without gates, where a platform places the processes
-//! and says to each what it needs.
+//! Validated settings of a process in a fleet without gates, where a platform places the processes
+//! and gives each its settings.
 
 use crate::{
     policy::{self, PolicyOverrides},
@@ -13,35 +13,35 @@
     time::Duration,
 };
 
-/// Longest time that a setting may name.
-const MOST_SECONDS: f64 = 86_400.0;
+/// Upper bound of settings in seconds.
+const MAX_SECONDS: f64 = 86_400.0;
 
-/// An entry.
+/// Settings of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetEntry {
-    /// Where callers send requests.
+    /// Address for callers' requests.
     pub caller_address: SocketAddr,
-    /// Where the platform asks for readiness.
+    /// Address for the platform's readiness checks.
     pub health_address: SocketAddr,
-    /// Where callers ask for addresses.
+    /// Address for callers' lookups of entry addresses.
     pub directory_address: SocketAddr,
 }
 
-/// A control member.
+/// Settings of a control member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetControl {
-    /// Where targets and operators call.
+    /// Address for HTTP requests of targets and operators.
     pub http_address: SocketAddr,
-    /// Folder on the instance's disk.
+    /// Folder on the instance's disk for the member's state.
     pub data_folder: PathBuf,
 }
 
-/// An agent.
+/// Settings of an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetAgent {
-    /// The target on the same instance.
+    /// Address of the target on the same instance.
     pub target_address: SocketAddr,
-    /// Its service.
+    /// Service of the target.
     pub service: ServiceName,
 }
 
@@ -54,43 +54,43 @@
     pub zone: ZoneName,
     /// The instance's own address.
     pub host: IpAddr,
-    /// First of the ports at which processes reach each other, the same at every instance.
+    /// First of the ports for connections between processes; the same on every instance.
     pub first_peer_port: u16,
-    /// Where some control members take calls; the only other processes known at the start.
+    /// HTTP addresses of some control members; no other processes are known at the start.
     pub control_seeds: Vec<SocketAddr>,
     /// Rate of the instance's link in Mbit/s.
     pub link_mbps: f64,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole fleet starts for the first time.
     pub bootstrap: bool,
     /// Time between two announcements of a target.
     pub announce_interval: Duration,
-    /// Control members that may be lost at once.
+    /// Control members that may fail at the same time.
     pub tolerated_failures: u64,
-    /// Time from the order to stop until the process is ended.
+    /// Time from the request to stop until the process is killed.
     pub stop_timeout: Duration,
-    /// Time from naming a version until no request may begin on an older one.
+    /// Time from publishing a version until no request may begin on an older one.
     pub staleness_bound: Duration,
-    /// Repeats allowed for each request, over all entries.
+    /// Retries allowed per request, over all entries.
     pub retry_ratio: f64,
-    /// Window in which they are counted.
+    /// Length of the window in which retries are counted.
     pub retry_window: Duration,
-    /// Repeats allowed in each window besides.
+    /// Retries allowed in each window in addition to [`Self::retry_ratio`].
     pub retry_minimum: u64,
-    /// Overrides of limits and weights.
+    /// Overrides of the default policies.
     pub policy: PolicyOverrides,
-    /// Entry role.
+    /// Settings of the entry role, if the process has it.
     pub entry: Option<FleetEntry>,
-    /// Control role.
+    /// Settings of the control role, if the process has it.
     pub control: Option<FleetControl>,
-    /// Agent role.
+    /// Settings of the agent role, if the process has it.
     pub agent: Option<FleetAgent>,
 }
 
 impl FleetSettings {
-    /// Reads and checks settings.
+    /// Parses and validates settings in JSON.
     ///
     /// # Errors
-    /// Names every mistake.
+    /// Returns every invalid field.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let mut field_errors = Vec::new();
         let settings = match serde_json::from_str::<Value>(text) {
@@ -122,7 +122,7 @@
     let control_seeds = reader.required::<SeedList>("control_seeds");
     let link_mbps: Option<f64> = reader.required("link_mbps");
     if link_mbps.is_some_and(|rate| rate <= 0.0) {
-        reader.mistake("link_mbps", "must be more than 0".to_owned());
+        reader.add_error("link_mbps", "must be more than 0".to_owned());
     }
     let bootstrap = reader.required("founding");
     let announce_interval = seconds(reader, "announce_interval_seconds");
@@ -154,7 +154,7 @@
         Some(FleetAgent { target_address: target_address?, service: service? })
     });
     if entry.is_none() && control.is_none() && agent.is_none() {
-        reader.mistake("entry", "no role: give entry, control or agent".to_owned());
+        reader.add_error("entry", "no role: give entry, control or agent".to_owned());
     }
     Some(FleetSettings {
         instance: instance?,
@@ -180,21 +180,21 @@
 
 fn seconds(reader: &mut SectionReader<'_>, name: &str) -> Option<Duration> {
     let value: f64 = reader.required(name)?;
-    if !(0.0..=MOST_SECONDS).contains(&value) {
-        reader.mistake(name, format!("{value} is not between 0 and {MOST_SECONDS}"));
+    if !(0.0..=MAX_SECONDS).contains(&value) {
+        reader.add_error(name, format!("{value} is not between 0 and {MAX_SECONDS}"));
         return None;
     }
     Some(Duration::from_secs_f64(value))
 }
 
-/// A list of addresses, which may be empty: a member that is alone knows no other.
+/// A list of addresses; it may be empty, since a single control member knows no other.
 struct SeedList(Vec<SocketAddr>);
 
 impl crate::reader::SettingValue for SeedList {
-    fn read(value: &Value) -> Result<Self, String> {
+    fn parse(value: &Value) -> Result<Self, String> {
         let items = value.as_array().ok_or_else(|| "expected a list of addresses".to_owned())?;
         let parse = |text: AddressText| text.0.parse().map_err(|_| "not an address".to_owned());
-        let read = |item: &Value| AddressText::read(item).and_then(parse);
+        let read = |item: &Value| AddressText::parse(item).and_then(parse);
         Ok(Self(items.iter().map(read).collect::<Result<_, String>>()?))
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! A daemon's settings: JSON in, [`DaemonSettings`] or [`FleetSettings`] out, every mistake named
-//! with its path.
+//! Parses the settings of a process from JSON into [`DaemonSettings`] or [`FleetSettings`], and
+//! reports every invalid field with its path.
 //!
-//! One process runs the roles whose sections are present. Unknown fields are errors, because a
-//! misspelt limit that is silently ignored is found only when it is needed.
+//! A process runs the roles whose sections are present. Unknown fields are errors: a misspelt limit
+//! that is silently ignored would be noticed only when it is needed.
 
 mod fleet;
 mod policy;
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one JSON object field by field and collects every mistake.
+//! Parses a JSON object field by field and collects every error.
 
 use egretseam_proto::{GroupName, InstanceName, ServiceName, ZoneName};
 use serde_json::{Map, Value};
@@ -9,12 +9,12 @@
 };
 use thiserror::Error;
 
-/// One mistake.
+/// An invalid, missing or unknown field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
-    /// Where, as a JSON path such as `$.entry.lease_millis`.
+    /// JSON path of the field, such as `$.entry.lease_millis`.
     pub path: String,
-    /// What is wrong.
+    /// What is wrong with it.
     pub message: String,
 }
 
@@ -24,10 +24,10 @@
     }
 }
 
-/// Settings that cannot be used, with all errors.
+/// Why settings are invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub struct SettingsError {
-    /// At least one mistake.
+    /// All errors; at least one.
     pub field_errors: Vec<FieldError>,
 }
 
@@ -38,53 +38,53 @@
     }
 }
 
-/// A value that a setting can have.
+/// A type that a setting can have.
 pub(crate) trait SettingValue: Sized {
-    /// Reads the value, or says what was expected.
-    fn read(value: &Value) -> Result<Self, String>;
+    /// Parses the value; an error says what was expected.
+    fn parse(value: &Value) -> Result<Self, String>;
 }
 
 impl SettingValue for String {
-    fn read(value: &Value) -> Result<Self, String> {
+    fn parse(value: &Value) -> Result<Self, String> {
         value.as_str().map(str::to_owned).ok_or_else(|| "expected text".to_owned())
     }
 }
 
 impl SettingValue for u64 {
-    fn read(value: &Value) -> Result<Self, String> {
+    fn parse(value: &Value) -> Result<Self, String> {
         value.as_u64().ok_or_else(|| "expected a whole number of 0 or more".to_owned())
     }
 }
 
 impl SettingValue for f64 {
-    fn read(value: &Value) -> Result<Self, String> {
+    fn parse(value: &Value) -> Result<Self, String> {
         value.as_f64().ok_or_else(|| "expected a number".to_owned())
     }
 }
 
 impl SettingValue for bool {
-    fn read(value: &Value) -> Result<Self, String> {
+    fn parse(value: &Value) -> Result<Self, String> {
         value.as_bool().ok_or_else(|| "expected true or false".to_owned())
     }
 }
 
 impl SettingValue for IpAddr {
-    fn read(value: &Value) -> Result<Self, String> {
-        let text = String::read(value)?;
+    fn parse(value: &Value) -> Result<Self, String> {
+        let text = String::parse(value)?;
         text.parse().map_err(|_| format!("{text:?} is not an IP number"))
     }
 }
 
 impl SettingValue for SocketAddr {
-    fn read(value: &Value) -> Result<Self, String> {
-        let text = AddressText::read(value)?.0;
+    fn parse(value: &Value) -> Result<Self, String> {
+        let text = AddressText::parse(value)?.0;
         text.parse().map_err(|_| format!("{text:?} is not an address"))
     }
 }
 
 impl SettingValue for PathBuf {
-    fn read(value: &Value) -> Result<Self, String> {
-        let text = String::read(value)?;
+    fn parse(value: &Value) -> Result<Self, String> {
+        let text = String::parse(value)?;
         if text.is_empty() { Err("expected a path".to_owned()) } else { Ok(text.into()) }
     }
 }
@@ -92,8 +92,8 @@
 macro_rules! name_value {
     ($($name:ty),*) => {$(
         impl SettingValue for $name {
-            fn read(value: &Value) -> Result<Self, String> {
-                Self::try_from(String::read(value)?).map_err(|error| error.to_string())
+            fn parse(value: &Value) -> Result<Self, String> {
+                Self::try_from(String::parse(value)?).map_err(|error| error.to_string())
             }
         }
     )*};
@@ -101,13 +101,13 @@
 
 name_value!(InstanceName, ZoneName, GroupName, ServiceName);
 
-/// An address by IP number and port.
+/// A valid IP address and port, as they were written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AddressText(pub(crate) String);
 
 impl SettingValue for AddressText {
-    fn read(value: &Value) -> Result<Self, String> {
-        let text = String::read(value)?;
+    fn parse(value: &Value) -> Result<Self, String> {
+        let text = String::parse(value)?;
         let parsed: Result<std::net::SocketAddr, _> = text.parse();
         match parsed {
             Ok(_) => Ok(Self(text)),
@@ -116,22 +116,22 @@
     }
 }
 
-/// A list of addresses, at least one.
+/// A list of at least one address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AddressList(pub(crate) Vec<String>);
 
 impl SettingValue for AddressList {
-    fn read(value: &Value) -> Result<Self, String> {
+    fn parse(value: &Value) -> Result<Self, String> {
         let items = value.as_array().ok_or_else(|| "expected a list of addresses".to_owned())?;
         if items.is_empty() {
             return Err("expected at least one address".to_owned());
         }
-        let read = |item| AddressText::read(item).map(|address| address.0);
+        let read = |item| AddressText::parse(item).map(|address| address.0);
         Ok(Self(items.iter().map(read).collect::<Result<_, _>>()?))
     }
 }
 
-/// Reads the fields of one object.
+/// Takes the fields out of a JSON object and parses them.
 pub(crate) struct SectionReader<'a> {
     path: String,
     fields: Map<String, Value>,
@@ -139,7 +139,7 @@
 }
 
 impl<'a> SectionReader<'a> {
-    /// A reader of `value`, which must be an object.
+    /// A reader of `value`; `None`, with an error recorded, if it is not an object.
     pub(crate) fn new(
         path: &str,
         value: &Value,
@@ -157,48 +157,48 @@
         }
     }
 
-    /// A field that must be there.
+    /// Parses a field that must be present.
     pub(crate) fn required<T: SettingValue>(&mut self, name: &str) -> Option<T> {
         if !self.fields.contains_key(name) {
-            self.mistake(name, "is missing".to_owned());
+            self.add_error(name, "is missing".to_owned());
             return None;
         }
         self.optional(name)
     }
 
-    /// A field that may be absent.
+    /// Parses a field that may be absent.
     pub(crate) fn optional<T: SettingValue>(&mut self, name: &str) -> Option<T> {
         let value = self.fields.remove(name)?;
-        match T::read(&value) {
+        match T::parse(&value) {
             Ok(value) => Some(value),
             Err(message) => {
-                self.mistake(name, message);
+                self.add_error(name, message);
                 None
             }
         }
     }
 
-    /// A number within limits.
+    /// Parses a number from `low` to `high`; `default` if it is absent or invalid.
     pub(crate) fn number(&mut self, name: &str, default: u64, low: u64, high: u64) -> u64 {
         let Some(value) = self.optional::<u64>(name) else { return default };
         if !(low..=high).contains(&value) {
-            self.mistake(name, format!("{value} is not between {low} and {high}"));
+            self.add_error(name, format!("{value} is not between {low} and {high}"));
             return default;
         }
         value
     }
 
-    /// A word out of a list.
-    pub(crate) fn word(&mut self, name: &str, words: &[&'static str]) -> Option<&'static str> {
+    /// Parses a string that must be one of `choices`.
+    pub(crate) fn choice(&mut self, name: &str, choices: &[&'static str]) -> Option<&'static str> {
         let text: String = self.optional(name)?;
-        let found = words.iter().copied().find(|word| *word == text);
+        let found = choices.iter().copied().find(|choice| *choice == text);
         if found.is_none() {
-            self.mistake(name, format!("{text:?} is not one of {}", words.join(", ")));
+            self.add_error(name, format!("{text:?} is not one of {}", choices.join(", ")));
         }
         found
     }
 
-    /// A nested object.
+    /// Parses a nested object, all of whose fields `read` must take.
     pub(crate) fn section<T>(
         &mut self,
         name: &str,
@@ -212,18 +212,18 @@
         result
     }
 
-    /// Whether the field is given, good or not.
+    /// Whether the field is present and not parsed yet, valid or not.
     pub(crate) fn has(&self, name: &str) -> bool {
         self.fields.contains_key(name)
     }
 
-    /// Notes a mistake in the field `name`.
-    pub(crate) fn mistake(&mut self, name: &str, message: String) {
+    /// Records an error in the field `name`.
+    pub(crate) fn add_error(&mut self, name: &str, message: String) {
         let path = format!("{}.{name}", self.path);
         self.field_errors.push(FieldError { path, message });
     }
 
-    /// Notes every field that nobody read.
+    /// Records an error for every field that was not parsed.
     pub(crate) fn finish(self) {
         for name in self.fields.keys() {
             let path = format!("{}.{name}", self.path);
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,20 +1,20 @@
-//! Checked settings of a daemon and its roles.
+//! Validated settings of a daemon and its roles.
 
 use crate::reader::{AddressList, AddressText, FieldError, SectionReader, SettingsError};
 use egretseam_proto::{GroupName, InstanceName, ZoneName};
 use serde_json::Value;
 use std::{path::PathBuf, time::Duration};
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people to read.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Logging.
+/// Settings of logging.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
     /// Format.
@@ -23,83 +23,83 @@
     pub filter: String,
 }
 
-/// A control member.
+/// Settings of a control member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlSettings {
     /// Folder that holds the member's state, initialised by `egretseam init`.
     pub data_folder: PathBuf,
-    /// `host:port` to listen on for our other processes.
+    /// `host:port` to listen on for the other Egretseam processes.
     pub peer_address: String,
-    /// `host:port` that the others are told; where this instance is reached.
+    /// `host:port` advertised to the other processes, at which they reach this one.
     pub advertised_peer_address: String,
-    /// Entries of the log between snapshots.
+    /// Log entries between snapshots.
     pub snapshot_every: u64,
 }
 
-/// How an entry chooses targets. Only the first is for use; the others are baselines that
-/// measurements compare with.
+/// How an entry chooses targets. Only the first is for production; the others are baselines for
+/// measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingSetting {
-    /// By load, pace, zone and cached prompts.
+    /// By load, speed, availability zone and cached prompt prefixes.
     Balanced,
-    /// Each in turn.
+    /// Each target in turn.
     RoundRobin,
-    /// Fewest requests of this entry in progress.
+    /// The target with the fewest requests of this entry in flight.
     LeastInFlight,
 }
 
-/// An entry.
+/// Settings of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntrySettings {
     /// `host:port` to listen on for callers.
     pub caller_address: String,
-    /// `host:port` that callers are told.
+    /// `host:port` advertised to callers.
     pub advertised_caller_address: String,
     /// `host:port` to listen on for agents.
     pub peer_address: String,
-    /// `host:port` that agents are told.
+    /// `host:port` advertised to agents.
     pub advertised_peer_address: String,
-    /// How long a confirmed configuration is used.
+    /// How long the entry uses a configuration after control has confirmed it.
     pub lease: Duration,
-    /// How long callers may keep the list of addresses.
+    /// How long callers may cache the list of entry addresses.
     pub address_lifetime: Duration,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that does not state one.
     pub default_deadline: Duration,
     /// Largest request body in bytes.
     pub max_body_bytes: u64,
-    /// How targets are chosen.
+    /// How the entry chooses targets.
     pub routing: RoutingSetting,
 }
 
-/// What stands behind an agent.
+/// Kind of an agent's target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetKindSetting {
-    /// A model engine.
+    /// A model engine, which loads weights.
     Model,
     /// A plain service.
     Plain,
 }
 
-/// How weights reach an instance. Only the first is for use; the others are baselines that
-/// measurements compare with.
+/// How weights are distributed to instances. Only the first is for production; the others are
+/// baselines for measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DistributionSetting {
-    /// From peers, and from the origin as the profile allows.
+    /// From peers, and from the origin as far as the profile allows.
     Swarm,
-    /// Everything from the origin.
+    /// All chunks from the origin.
     OriginOnly,
-    /// Each from its parent in a binary tree, the root from the origin.
+    /// From the instance's parent in a binary tree; the root fetches from the origin.
     Tree,
 }
 
-/// An agent.
+/// Settings of an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSettings {
     /// Group of the target.
     pub group: GroupName,
-    /// What stands behind the agent.
+    /// Kind of the target.
     pub kind: TargetKindSetting,
-    /// `host:port` of entries to begin with.
+    /// `host:port` of the entries known at the start.
     pub entries: Vec<String>,
     /// Most entries that the agent reports to.
     pub report_fanout: u64,
@@ -107,11 +107,11 @@
     pub report_interval: Duration,
     /// `host:port` to listen on for entries' requests.
     pub gate_address: String,
-    /// `host:port` that entries are told.
+    /// `host:port` advertised to entries.
     pub advertised_gate_address: String,
-    /// `host:port` to listen on for peers' chunks.
+    /// `host:port` to listen on for chunk requests of peers.
     pub chunk_address: String,
-    /// `host:port` that peers are told.
+    /// `host:port` advertised to peers.
     pub advertised_chunk_address: String,
     /// `host:port` of the target.
     pub target_address: String,
@@ -119,15 +119,15 @@
     pub origin_address: String,
     /// `host:port` of the weight store.
     pub store_address: Option<String>,
-    /// Folder for weights.
+    /// Folder that stores weights.
     pub weights_folder: PathBuf,
-    /// Bytes of weights that may lie on disk beside those wanted.
+    /// Bytes of weights that may stay on disk in addition to the desired ones.
     pub disk_budget_bytes: u64,
-    /// Bytes a second for transfers and live answers together.
+    /// Bytes per second of the link that transfers and live responses share.
     pub link_bytes_per_second: Option<u64>,
-    /// How long a switch may take.
+    /// Time allowed for a switch to other weights.
     pub switch_timeout: Duration,
-    /// How weights reach this instance.
+    /// How weights are distributed to this instance.
     pub distribution: DistributionSetting,
 }
 
@@ -136,9 +136,9 @@
 pub struct DaemonSettings {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// File with the token that our processes share.
+    /// File with the token that all Egretseam processes share.
     pub peer_token_file: PathBuf,
     /// File with the token that operators present.
     pub operator_token_file: PathBuf,
@@ -146,26 +146,26 @@
     pub operator_address: String,
     /// `host:port` of the control members.
     pub control_members: Vec<String>,
-    /// How long a planned stop may take.
+    /// Time allowed for a planned stop.
     pub stop_timeout: Duration,
-    /// Logging.
+    /// Settings of logging.
     pub log: LogSettings,
-    /// The control role.
+    /// Settings of the control role, if the process has it.
     pub control: Option<ControlSettings>,
-    /// The entry role.
+    /// Settings of the entry role, if the process has it.
     pub entry: Option<EntrySettings>,
-    /// The agent role.
+    /// Settings of the agent role, if the process has it.
     pub agent: Option<AgentSettings>,
 }
 
-/// Longest time setting, in milliseconds.
-const DAY_MILLIS: u64 = 24 * 60 * 60 * 1_000;
+/// Upper bound of settings in milliseconds.
+const MAX_MILLIS: u64 = 24 * 60 * 60 * 1_000;
 
 impl DaemonSettings {
-    /// Reads settings from a file's text.
+    /// Parses and validates settings in JSON.
     ///
     /// # Errors
-    /// Returns every mistake, or the one that keeps the text from being JSON.
+    /// Returns every invalid field, or the syntax error if the text is not JSON.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let value: Value = serde_json::from_str(text).map_err(|error| {
             let message = format!("not JSON: {error}");
@@ -199,7 +199,7 @@
     let operator_token_file = reader.required("operator_token_file");
     let operator_address = reader.required::<AddressText>("operator_address");
     let control_members = reader.optional::<AddressList>("control_members");
-    let stop_timeout = reader.number("stop_limit_millis", 120_000, 0, DAY_MILLIS);
+    let stop_timeout = reader.number("stop_limit_millis", 120_000, 0, MAX_MILLIS);
     let log = reader.section("log", read_log);
     let (has_control, has_entry, has_agent) =
         (reader.has("control"), reader.has("entry"), reader.has("agent"));
@@ -207,10 +207,10 @@
     let entry = reader.section("entry", read_entry);
     let agent = reader.section("agent", read_agent);
     if !has_control && !has_entry && !has_agent {
-        reader.mistake("control", "no role: give control, entry or agent".to_owned());
+        reader.add_error("control", "no role: give control, entry or agent".to_owned());
     }
     if has_entry && control_members.is_none() {
-        reader.mistake("control_members", "an entry needs the control members".to_owned());
+        reader.add_error("control_members", "an entry needs the control members".to_owned());
     }
     Some(DaemonSettings {
         instance: instance?,
@@ -228,7 +228,7 @@
 }
 
 fn read_log(reader: &mut SectionReader<'_>) -> Option<LogSettings> {
-    let format = match reader.word("format", &["human", "json"]) {
+    let format = match reader.choice("format", &["human", "json"]) {
         Some("json") => LogFormat::Json,
         _ => LogFormat::Human,
     };
@@ -253,9 +253,9 @@
     let (peer_address, advertised_peer_address) = read_address(reader, "peer_address");
     let lease = reader.number("lease_millis", 6_000, 1_000, 60_000);
     let lifetime = reader.number("address_lifetime_seconds", 10, 1, 3_600);
-    let deadline = reader.number("default_deadline_millis", 60_000, 100, DAY_MILLIS);
+    let deadline = reader.number("default_deadline_millis", 60_000, 100, MAX_MILLIS);
     let max_body_bytes = reader.number("max_body_bytes", 8 << 20, 1_024, 64 << 20);
-    let routing = match reader.word("routing", &["balanced", "round-robin", "least-in-flight"]) {
+    let routing = match reader.choice("routing", &["balanced", "round-robin", "least-in-flight"]) {
         Some("round-robin") => RoutingSetting::RoundRobin,
         Some("least-in-flight") => RoutingSetting::LeastInFlight,
         _ => RoutingSetting::Balanced,
@@ -275,7 +275,7 @@
 
 fn read_agent(reader: &mut SectionReader<'_>) -> Option<AgentSettings> {
     let group = reader.required("group");
-    let kind = match reader.word("kind", &["model", "plain"]) {
+    let kind = match reader.choice("kind", &["model", "plain"]) {
         Some("plain") => TargetKindSetting::Plain,
         _ => TargetKindSetting::Model,
     };
@@ -287,17 +287,17 @@
     let target_address = reader.required::<AddressText>("target_address");
     let origin_address = reader.optional::<AddressText>("origin_address");
     if kind == TargetKindSetting::Model && origin_address.is_none() {
-        reader.mistake("origin_address", "a model target needs an origin".to_owned());
+        reader.add_error("origin_address", "a model target needs an origin".to_owned());
     }
     let store_address = reader.optional::<AddressText>("store_address");
     let weights_folder = reader.required("weights_folder");
     let disk_budget_bytes = reader.number("disk_budget_bytes", 0, 0, u64::MAX);
     let link_bytes_per_second = reader.optional::<u64>("link_bytes_per_second");
     if link_bytes_per_second == Some(0) {
-        reader.mistake("link_bytes_per_second", "must not be 0".to_owned());
+        reader.add_error("link_bytes_per_second", "must not be 0".to_owned());
     }
     let switch_timeout = reader.number("switch_limit_millis", 600_000, 10_000, 900_000);
-    let distribution = match reader.word("distribution", &["swarm", "origin-only", "tree"]) {
+    let distribution = match reader.choice("distribution", &["swarm", "origin-only", "tree"]) {
         Some("origin-only") => DistributionSetting::OriginOnly,
         Some("tree") => DistributionSetting::Tree,
         _ => DistributionSetting::Swarm,
@@ -323,8 +323,8 @@
     })
 }
 
-/// An address to listen on and the one that others are told, the same unless `advertised_...` says
-/// otherwise.
+/// Parses the address `name` to listen on and the address `advertised_{name}` at which others reach
+/// it; the second defaults to the first.
 fn read_address(reader: &mut SectionReader<'_>, name: &str) -> (Option<String>, Option<String>) {
     let listen = reader.required::<AddressText>(name).map(|address| address.0);
     let advertised = reader.optional::<AddressText>(&format!("advertised_{name}"));
