--- a/tests/all/fleet_settings.rs
+++ b/tests/all/fleet_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process that a platform placed, and the volume of its log.
+//! Settings of a process that a platform placed, and the limit on its log volume.
 
 use egretseam_config::FleetSettings;
 use egretseam_daemon::LogBudget;
@@ -19,25 +19,26 @@
 }
 
 #[test]
-fn proper_settings_are_read() {
-    let read = FleetSettings::parse(&settings().to_string()).expect("proper");
-    assert_eq!(read.announce_interval.as_millis(), 1_200);
-    assert!(read.entry.is_some() && read.control.is_none() && read.agent.is_none());
+fn valid_settings_are_parsed() {
+    let parsed = FleetSettings::parse(&settings().to_string()).expect("valid settings");
+    assert_eq!(parsed.announce_interval.as_millis(), 1_200);
+    assert!(parsed.entry.is_some() && parsed.control.is_none() && parsed.agent.is_none());
 }
 
-/// Operators change single limits and weights; what they do not name stays as it is.
+/// Operators override single policy fields; the others keep their defaults.
 #[test]
-fn limits_and_weights_can_be_overridden() {
-    let mut with = settings();
-    with["policy"] =
+fn policy_fields_can_be_overridden() {
+    let mut overridden = settings();
+    overridden["policy"] =
         json!({"late_fill": 0.5, "ejects": false, "outage_wait_millis": 0, "seeders": 4});
-    let policy = FleetSettings::parse(&with.to_string()).expect("proper").policy;
+    let policy = FleetSettings::parse(&overridden.to_string()).expect("valid settings").policy;
     assert_eq!((policy.late_max_fill, policy.ejects), (Some(0.5), Some(false)));
     assert_eq!((policy.outage_limit, policy.max_seeders), (Some(Duration::ZERO), Some(4)));
     assert_eq!((policy.cross_zone_penalty, policy.late_limit), (None, None));
-    with["policy"] = json!({"late_fill": -1, "favour": 99, "late_wait_millis": 1e9, "other": 1});
-    let error = FleetSettings::parse(&with.to_string()).expect_err("four mistakes");
-    let paths: Vec<&str> = error.field_errors.iter().map(|mistake| mistake.path.as_str()).collect();
+    overridden["policy"] =
+        json!({"late_fill": -1, "favour": 99, "late_wait_millis": 1e9, "other": 1});
+    let error = FleetSettings::parse(&overridden.to_string()).expect_err("four invalid fields");
+    let paths: Vec<&str> = error.field_errors.iter().map(|error| error.path.as_str()).collect();
     for field in ["late_fill", "favour", "late_wait_millis", "other"] {
         let path = format!("$.policy.{field}");
         assert!(paths.contains(&path.as_str()), "{path} is not among {paths:?}");
@@ -45,15 +46,15 @@
 }
 
 #[test]
-fn every_mistake_is_named_with_its_path() {
-    let mut wrong = settings();
-    wrong["entry"]["caller_address"] = json!("somewhere");
-    wrong["link_mbps"] = json!(0);
-    wrong["stop_limit_seconds"] = json!(-1);
-    wrong["surplus"] = json!(1);
-    wrong.as_object_mut().expect("an object").remove("host");
-    let error = FleetSettings::parse(&wrong.to_string()).expect_err("five mistakes");
-    let paths: Vec<&str> = error.field_errors.iter().map(|mistake| mistake.path.as_str()).collect();
+fn every_invalid_field_is_reported_with_its_path() {
+    let mut invalid = settings();
+    invalid["entry"]["caller_address"] = json!("somewhere");
+    invalid["link_mbps"] = json!(0);
+    invalid["stop_limit_seconds"] = json!(-1);
+    invalid["surplus"] = json!(1);
+    invalid.as_object_mut().expect("an object").remove("host");
+    let error = FleetSettings::parse(&invalid.to_string()).expect_err("five invalid fields");
+    let paths: Vec<&str> = error.field_errors.iter().map(|error| error.path.as_str()).collect();
     for path in
         ["$.entry.caller_address", "$.link_mbps", "$.stop_limit_seconds", "$.surplus", "$.host"]
     {
@@ -62,21 +63,21 @@
     assert!(FleetSettings::parse("{").is_err());
 }
 
-/// What operators would see: an entry that slows down in a storm of refusals, because it writes a
-/// line for each. Beyond so many lines a second of one kind, the rest is only counted.
+/// Without a limit, an entry that rejects many requests would slow down, because it writes a log
+/// line for each. Lines of one kind beyond the limit per second are only counted.
 #[test]
-fn a_storm_of_lines_is_bounded_and_counted() {
+fn a_burst_of_log_lines_is_limited_and_counted() {
     let budget = LogBudget::default();
     let (counter, written) = CountingLayer::new();
     let subscriber = tracing_subscriber::registry().with(budget.clone()).with(counter);
     tracing::subscriber::with_default(subscriber, || {
         for number in 0..10_000 {
-            tracing::info!(number, "refused");
+            tracing::info!(number, "rejected");
         }
         tracing::info!("another kind");
     });
     let written = written.load(std::sync::atomic::Ordering::Relaxed);
-    // A second may turn over while the storm lasts.
+    // The one-second window of the budget may end during the burst.
     assert!((2..2_000).contains(&written), "{written}");
     let left_out: u64 = budget.take_left_out().iter().map(|(_, lines)| lines).sum();
     assert_eq!(written + left_out, 10_001);
--- a/tests/all/settings.rs
+++ b/tests/all/settings.rs
@@ -1,10 +1,10 @@
-//! Settings files: every mistake is named, and the examples are good.
+//! Settings of daemons: every invalid field is reported, and the example files are valid.
 
 use egretseam_config::DaemonSettings;
 use std::fs;
 
 #[test]
-fn every_mistake_is_named_with_its_path() {
+fn every_invalid_field_is_reported_with_its_path() {
     let text = r#"{
         "instance": "bad name", "zone": 5, "peer_token_file": "p", "operator_address": "localhost:1",
         "log": { "format": "loud", "colour": true },
@@ -13,8 +13,8 @@
                    "chunk_address": "10.0.0.1:3", "target_address": "10.0.0.1:4",
                    "weights_folder": "" }
     }"#;
-    let error = DaemonSettings::parse(text).expect_err("full of mistakes");
-    let paths: Vec<&str> = error.field_errors.iter().map(|mistake| mistake.path.as_str()).collect();
+    let error = DaemonSettings::parse(text).expect_err("invalid fields");
+    let paths: Vec<&str> = error.field_errors.iter().map(|error| error.path.as_str()).collect();
     let expected = [
         "$.instance",
         "$.zone",
@@ -37,15 +37,17 @@
 }
 
 #[test]
-fn text_that_is_not_json_and_settings_without_a_role_are_refused() {
+fn text_that_is_not_json_and_settings_without_a_role_are_rejected() {
     assert!(DaemonSettings::parse("{").expect_err("not JSON").to_string().contains("not JSON"));
-    let none = r#"{ "instance": "a", "zone": "z", "peer_token_file": "p",
+    let without_role = r#"{ "instance": "a", "zone": "z", "peer_token_file": "p",
                     "operator_token_file": "o", "operator_address": "127.0.0.1:1" }"#;
-    assert!(DaemonSettings::parse(none).expect_err("no role").to_string().contains("no role"));
+    assert!(
+        DaemonSettings::parse(without_role).expect_err("no role").to_string().contains("no role")
+    );
 }
 
 #[test]
-fn the_examples_are_good() {
+fn the_example_files_are_valid() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/examples");
     let mut count = 0;
     for file in fs::read_dir(folder).expect("examples").map(|file| file.expect("a file").path()) {
@@ -57,5 +59,5 @@
             count += 1;
         }
     }
-    assert_eq!(count, 3, "one example a role");
+    assert_eq!(count, 3, "one example per role");
 }
