--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -66,7 +66,7 @@
     pub announce_interval: Duration,
     /// Control members that may fail at the same time.
     pub tolerated_failures: u64,
-    /// Time from the request to stop until the process is killed.
+    /// Time from the request to stop until the process must have exited.
     pub stop_timeout: Duration,
     /// Time from publishing a version until no request may begin on an older one.
     pub staleness_bound: Duration,
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -47,7 +47,7 @@
     pub max_attempts: Option<u64>,
     /// Shortest time without an event after which callers of streams disconnect.
     pub stream_idle_timeout: Option<Duration>,
-    /// Whether entries use the agents' load datagrams.
+    /// Whether entries update the known load of targets from the agents' load datagrams.
     pub uses_load_datagrams: Option<bool>,
     /// How long callers of other availability zones may cache the response to an address lookup.
     pub cross_zone_address_lifetime: Option<Duration>,
