--- a/crates/entry/src/guards.rs
+++ b/crates/entry/src/guards.rs
@@ -1,35 +1,35 @@
-//! Guards that give back what a request holds, however it ends: also when its caller goes away and
-//! the future that carried it is dropped.
+//! Guards that release what a request holds when they are dropped. This covers every way in which
+//! the request ends, also that its caller disconnects and its future is dropped.
 
 use crate::shared::EntryShared;
 use egretseam_proto::{InstanceName, OrganisationName};
 use egretseam_routing::{QueueTicket, RequestOutcome};
 use std::{rc::Rc, time::Duration};
 
-/// A place in progress.
+/// Capacity that an admitted request holds.
 pub(crate) struct AdmissionGuard {
     shared: Rc<EntryShared>,
     organisation: OrganisationName,
-    since: Duration,
+    admitted_at: Duration,
 }
 
 impl AdmissionGuard {
     pub(crate) fn new(shared: Rc<EntryShared>, organisation: &OrganisationName) -> Self {
-        let since = shared.now();
-        Self { shared, organisation: organisation.clone(), since }
+        let admitted_at = shared.now();
+        Self { shared, organisation: organisation.clone(), admitted_at }
     }
 }
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
         let now = self.shared.now();
-        let took = now.saturating_sub(self.since);
-        let admitted = self.shared.admission.borrow_mut().release(&self.organisation, took, now);
-        self.shared.wake(&admitted);
+        let elapsed = now.saturating_sub(self.admitted_at);
+        let admitted = self.shared.admission.borrow_mut().release(&self.organisation, elapsed, now);
+        self.shared.wake_admitted(&admitted);
     }
 }
 
-/// A place in the queue.
+/// Position of a waiting request in the admission queue.
 pub(crate) struct QueueGuard {
     shared: Rc<EntryShared>,
     ticket: Option<QueueTicket>,
@@ -40,7 +40,7 @@
         Self { shared, ticket: Some(ticket) }
     }
 
-    /// The ticket was admitted and no longer waits.
+    /// Drops the guard without leaving the queue; called when the ticket has been admitted.
     pub(crate) fn disarm(mut self) {
         self.ticket = None;
     }
@@ -49,8 +49,8 @@
 impl Drop for QueueGuard {
     fn drop(&mut self) {
         let Some(ticket) = self.ticket else { return };
-        let waited = self.shared.waiters.borrow_mut().shift_remove(&ticket).is_some();
-        if waited {
+        let was_waiting = self.shared.waiters.borrow_mut().shift_remove(&ticket).is_some();
+        if was_waiting {
             self.shared.admission.borrow_mut().cancel(ticket);
         }
     }
@@ -69,7 +69,8 @@
         Self { shared, target: target.clone(), outcome: RequestOutcome::Cancelled }
     }
 
-    /// Sets how the request ended, for when the guard is dropped.
+    /// Sets the outcome that is recorded when the guard is dropped; without a call it is
+    /// [`RequestOutcome::Cancelled`].
     pub(crate) fn set_outcome(&mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
--- a/crates/entry/src/runtime.rs
+++ b/crates/entry/src/runtime.rs
@@ -1,9 +1,9 @@
-//! Starting and stopping an entry.
+//! Options, start and stop of an entry.
 
 use crate::{
     caller::CallerHandler,
     claims::ClaimBatcher,
-    config_keeper,
+    config_watch,
     peers::PeerHandler,
     shared::{EntryMetrics, EntryShared},
 };
@@ -24,44 +24,44 @@
 };
 use tokio::{sync::watch, time::Instant};
 
-/// How often time-driven systems run.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval at which time-dependent state and gauges are updated.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryOptions {
-    /// Instance name.
+    /// Name of the instance that it runs on.
     pub name: InstanceName,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// This run.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Shared secret of our processes.
+    /// Secret shared by all processes of the installation.
     pub secret: PeerSecret,
     /// `host:port` of the control members.
     pub control_members: Vec<String>,
-    /// `host:port` that callers are told.
+    /// `host:port` announced to callers; if empty, that of the listener.
     pub caller_address: String,
-    /// `host:port` that agents are told.
+    /// `host:port` announced to agents; if empty, that of the listener.
     pub peer_address: String,
-    /// How long a confirmed configuration is used.
+    /// How long a configuration may be used after the call that confirmed it was sent.
     pub lease: Duration,
-    /// How long a watch may wait for a change; a fraction of the lease.
-    pub watch_wait: Duration,
-    /// How long callers may keep the list of addresses.
+    /// Longest wait of one watch call for a change; a fraction of the lease.
+    pub max_watch_wait: Duration,
+    /// How long callers may cache the list of addresses.
     pub address_lifetime: Duration,
-    /// Deadline of a request that names none.
+    /// Time until the deadline of a request that states none.
     pub default_deadline: Duration,
     /// Largest request body in bytes.
     pub max_body_bytes: usize,
-    /// Limits of routing.
+    /// Settings of routing.
     pub routing: RoutingOptions,
-    /// Limits of admission.
+    /// Settings of admission.
     pub admission: AdmissionOptions,
 }
 
 impl EntryOptions {
-    /// Options with the usual limits.
+    /// Options with the default limits.
     pub fn new(
         name: InstanceName,
         zone: ZoneName,
@@ -78,7 +78,7 @@
             caller_address: String::new(),
             peer_address: String::new(),
             lease: Duration::from_secs(6),
-            watch_wait: Duration::from_secs(2),
+            max_watch_wait: Duration::from_secs(2),
             address_lifetime: Duration::from_secs(10),
             default_deadline: Duration::from_secs(60),
             max_body_bytes: 8 * 1024 * 1024,
@@ -143,11 +143,11 @@
             targets: RefCell::new(TargetTable::new(options.routing, seed)),
             admission: RefCell::new(AdmissionTable::new(options.admission)),
             waiters: RefCell::default(),
-            budget: RefCell::new(RetryBudget::new()),
+            retry_budget: RefCell::new(RetryBudget::new()),
             prefixes: RefCell::new(PrefixIndex::new()),
-            peers_number: Cell::new(seed << 20),
+            peers_version: Cell::new(seed << 20),
             stopping: Cell::new(false),
-            next_request: Cell::new(0),
+            assigned_request_ids: Cell::new(0),
             options,
         });
         let peers = serve_entry(
@@ -158,28 +158,29 @@
         )?;
         let handler = Rc::new(CallerHandler::new(shared.clone()));
         let callers = spawn_server(listeners.caller, handler, ServerOptions::default())?;
-        actix_rt::spawn(config_keeper::watch_config(Rc::downgrade(&shared)));
-        actix_rt::spawn(config_keeper::stay_announced(Rc::downgrade(&shared)));
+        actix_rt::spawn(config_watch::watch_config(Rc::downgrade(&shared)));
+        actix_rt::spawn(config_watch::keep_announced(Rc::downgrade(&shared)));
         actix_rt::spawn(tick(Rc::downgrade(&shared)));
         Ok(Self { shared, callers, _peers: peers })
     }
 
-    /// The tables, for status pages.
+    /// The shared state, for status pages.
     pub fn shared(&self) -> &Rc<EntryShared> {
         &self.shared
     }
 
-    /// Where callers connect.
+    /// Address of the listener for callers.
     pub fn caller_address(&self) -> std::net::SocketAddr {
         self.callers.address()
     }
 
-    /// Stops without cutting anything off: leaves the addresses that callers are given, serves on
-    /// until every answer that still named it has expired, finishes what is in progress.
-    pub async fn stop(self, limit: Duration) -> bool {
-        let deadline = Instant::now() + limit;
+    /// Stops gracefully: withdraws from the list of addresses, serves until every cached list that
+    /// names this entry has expired, then drains the requests in progress. Returns whether
+    /// all connections ended within `drain_timeout`.
+    pub async fn stop(self, drain_timeout: Duration) -> bool {
+        let deadline = Instant::now() + drain_timeout;
         self.shared.stopping.set(true);
-        config_keeper::announce_leaving(&self.shared).await;
+        config_watch::announce_leaving(&self.shared).await;
         let lifetime = self.shared.options.address_lifetime;
         let grace = lifetime.min(deadline.saturating_duration_since(Instant::now()));
         tokio::time::sleep(grace).await;
@@ -189,16 +190,16 @@
 
 async fn tick(shared: std::rc::Weak<EntryShared>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else { return };
         let now = shared.now();
         if shared.targets.borrow_mut().tick(now) {
-            shared.peers_number.set(shared.peers_number.get() + 1);
+            shared.peers_version.set(shared.peers_version.get() + 1);
         }
         shared.refresh_limits();
         shared.admission.borrow_mut().tick();
         let view = shared.view();
-        shared.budget.borrow_mut().retain(|name| view.organisations.contains_key(name));
+        shared.retry_budget.borrow_mut().retain(|name| view.organisations.contains_key(name));
         let counters = &shared.counters;
         counters.lease_millis.set(shared.lease_left().as_millis() as i64);
         counters.queued.set(shared.admission.borrow().queued() as i64);
--- a/crates/registrar/src/loads.rs
+++ b/crates/registrar/src/loads.rs
@@ -4,7 +4,7 @@
 //! each agent, and the bytes that a member sends grow with the number of zones, not of entries.
 
 use crate::shared::RegistrarShared;
-use egretseam_rpc::{BusyTarget, LoadDatagram, MAX_DATAGRAM, MAX_SAMPLES};
+use egretseam_rpc::{LoadDatagram, MAX_DATAGRAM_BYTES, MAX_SAMPLES, TargetLoad};
 use indexmap::IndexMap;
 use std::{
     net::SocketAddr,
@@ -25,7 +25,7 @@
     let mut next_send_at = Instant::now() + BATCH_INTERVAL;
     // A random start lets members send to different entries of a zone.
     let mut round: usize = rand::random_range(0..INITIAL_ROUNDS);
-    let mut buffer = [0; MAX_DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let received = tokio::time::timeout_at(next_send_at, socket.recv_from(&mut buffer)).await;
         let Some(shared) = shared.upgrade() else { return };
@@ -63,8 +63,8 @@
     collected: &mut IndexMap<SocketAddr, u16>,
     round: usize,
 ) {
-    let samples: Vec<BusyTarget> =
-        collected.drain(..).map(|(address, busy)| BusyTarget { address, busy }).collect();
+    let samples: Vec<TargetLoad> =
+        collected.drain(..).map(|(address, busy)| TargetLoad { address, busy }).collect();
     let entries: Vec<SocketAddr> = {
         let entries = shared.entries.borrow();
         let port = shared.options.load_port;
