--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -122,7 +122,7 @@
             timer.stop();
             result.unwrap_or(Err(AttemptFailure::TimedOut))
         }
-        () = caller.closed(MAX_PIPELINED_BYTES) => {
+        () = caller.wait_for_close(MAX_PIPELINED_BYTES) => {
             log_caller_left(shared, request, slot, sent_at);
             Err(AttemptFailure::CallerLeft)
         }
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -38,7 +38,7 @@
     let _connection = CountGuard::new(&shared.open_connections);
     // A caller that reads slowly is still there, so its pauses are bounded by the deadlines of its
     // requests. The kernel's limit only ends connections to callers that are gone.
-    let options = ConnectionOptions { silence_limit: Duration::from_secs(6) };
+    let options = ConnectionOptions { peer_timeout: Duration::from_secs(6) };
     let mut caller = match HttpConnection::new(stream, &options) {
         Ok(caller) => caller,
         Err(error) => {
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -41,7 +41,7 @@
             // A target may send a second response, or close, while a connection is idle. Reusing
             // the connection would return another request's response or lose the request, so one
             // with anything to read is dropped.
-            if now < idle.expires_at && idle.connection.is_quiet() {
+            if now < idle.expires_at && idle.connection.is_idle() {
                 return Some(idle.connection);
             }
         }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -5,7 +5,7 @@
 
 use awc::{Client, ClientResponse, http::StatusCode};
 use egretseam_catalog::{ConfigEdit, ConfigView, EditRejection, EditRequest, HistoryRecord};
-use egretseam_http::{ClientOptions, SecretToken, http_client, reported_failure};
+use egretseam_http::{ClientOptions, SecretToken, failure_from_headers, http_client};
 use egretseam_proto::{
     FailureReport, OperationId, ProfileName, RequestVerdict, Revision, TargetReport,
 };
@@ -33,13 +33,13 @@
     },
     /// The change breaks a rule; nothing was changed.
     #[error("{0}")]
-    Refused(String),
+    Rejected(String),
     /// The token is wrong or missing.
     #[error("the operator token was refused")]
     Unauthorized,
     /// Nothing was changed, because nobody could take the call.
     #[error("not done: {0}")]
-    NotRun(String),
+    NotExecuted(String),
     /// Nobody knows whether the change was made; look before trying again.
     #[error("outcome unknown: {0}")]
     Unknown(String),
@@ -97,11 +97,11 @@
     pub async fn edit(&self, base: Revision, edit: ConfigEdit) -> Result<Revision, OperatorError> {
         let operation = OperationId(rand::random());
         let request = EditRequest { operation, base, actor: self.actor.clone(), edit };
-        let mut last = OperatorError::NotRun("nothing was sent".to_owned());
+        let mut last = OperatorError::NotExecuted("nothing was sent".to_owned());
         let mut may_have_run = false;
         for _ in 0..RESENDS {
             match self.edit_once(&request).await {
-                Err(error @ (OperatorError::Unknown(_) | OperatorError::NotRun(_))) => {
+                Err(error @ (OperatorError::Unknown(_) | OperatorError::NotExecuted(_))) => {
                     may_have_run |= matches!(error, OperatorError::Unknown(_));
                     last = error;
                 }
@@ -109,7 +109,9 @@
             }
         }
         match last {
-            OperatorError::NotRun(detail) if may_have_run => Err(OperatorError::Unknown(detail)),
+            OperatorError::NotExecuted(detail) if may_have_run => {
+                Err(OperatorError::Unknown(detail))
+            }
             other => Err(other),
         }
     }
@@ -118,14 +120,14 @@
         let mut answer = self.post("/v1/edits", request).await?;
         match answer.status() {
             StatusCode::OK => Ok(read::<AcceptedReply>(&mut answer).await?.revision),
-            StatusCode::CONFLICT if reported_failure(answer.headers()).is_none() => {
+            StatusCode::CONFLICT if failure_from_headers(answer.headers()).is_none() => {
                 let current = read::<ConflictReply>(&mut answer).await?.current;
                 Err(OperatorError::Conflict { current })
             }
             StatusCode::NOT_FOUND | StatusCode::UNPROCESSABLE_ENTITY
-                if reported_failure(answer.headers()).is_none() =>
+                if failure_from_headers(answer.headers()).is_none() =>
             {
-                Err(OperatorError::Refused(read::<EditRejection>(&mut answer).await?.message))
+                Err(OperatorError::Rejected(read::<EditRejection>(&mut answer).await?.message))
             }
             _ => Err(failure(&mut answer).await),
         }
@@ -176,7 +178,7 @@
         let url = format!("http://{}{path}", self.address);
         let call = self.client.get(url).bearer_auth(self.token.expose()).timeout(CALL_LIMIT);
         let sent = call.send().await;
-        let mut answer = sent.map_err(|error| OperatorError::NotRun(error.to_string()))?;
+        let mut answer = sent.map_err(|error| OperatorError::NotExecuted(error.to_string()))?;
         if answer.status().is_success() {
             return read(&mut answer).await;
         }
@@ -191,9 +193,9 @@
         let url = format!("http://{}{path}", self.address);
         let call = self.client.post(url).bearer_auth(self.token.expose()).timeout(CALL_LIMIT);
         call.send_json(body).await.map_err(|error| {
-            let report = egretseam_http::send_failure(&error);
+            let report = egretseam_http::classify_send_error(&error);
             match report.verdict {
-                RequestVerdict::NotRun => OperatorError::NotRun(error.to_string()),
+                RequestVerdict::NotRun => OperatorError::NotExecuted(error.to_string()),
                 _ => OperatorError::Unknown(error.to_string()),
             }
         })
@@ -208,7 +210,7 @@
 
 async fn failure(answer: &mut ClientResponse) -> OperatorError {
     let status = answer.status();
-    let report: Option<FailureReport> = reported_failure(answer.headers());
+    let report: Option<FailureReport> = failure_from_headers(answer.headers());
     let body = answer.body().limit(MAX_ANSWER_BYTES).await.unwrap_or_default();
     let problem: Option<ProblemDetail> = serde_json::from_slice(&body).ok();
     let detail = problem.map_or_else(|| status.to_string(), |problem| problem.detail);
@@ -216,9 +218,9 @@
         (StatusCode::UNAUTHORIZED, _) => OperatorError::Unauthorized,
         (status, Some(report)) if report.verdict == RequestVerdict::NotRun => {
             if status.is_client_error() {
-                OperatorError::Refused(detail)
+                OperatorError::Rejected(detail)
             } else {
-                OperatorError::NotRun(detail)
+                OperatorError::NotExecuted(detail)
             }
         }
         _ => OperatorError::Unknown(detail),
--- a/tests/all/fleet_settings.rs
+++ b/tests/all/fleet_settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a process that a platform placed, and the limit on its log volume.
 
 use egretseam_config::FleetSettings;
-use egretseam_daemon::LogBudget;
+use egretseam_daemon::LogRateLimit;
 use serde_json::{Value, json};
 use std::time::Duration;
 use tracing_subscriber::layer::SubscriberExt;
@@ -67,7 +67,7 @@
 /// line for each. Lines of one kind beyond the limit per second are only counted.
 #[test]
 fn a_burst_of_log_lines_is_limited_and_counted() {
-    let budget = LogBudget::default();
+    let budget = LogRateLimit::default();
     let (counter, written) = CountingLayer::new();
     let subscriber = tracing_subscriber::registry().with(budget.clone()).with(counter);
     tracing::subscriber::with_default(subscriber, || {
@@ -79,7 +79,7 @@
     let written = written.load(std::sync::atomic::Ordering::Relaxed);
     // The one-second window of the budget may end during the burst.
     assert!((2..2_000).contains(&written), "{written}");
-    let left_out: u64 = budget.take_left_out().iter().map(|(_, lines)| lines).sum();
+    let left_out: u64 = budget.take_dropped().iter().map(|(_, lines)| lines).sum();
     assert_eq!(written + left_out, 10_001);
 }
 
