--- a/tests/all/fleet_settings.rs
+++ b/tests/all/fleet_settings.rs
@@ -67,9 +67,9 @@
 /// line for each. Lines of one kind beyond the limit per second are only counted.
 #[test]
 fn a_burst_of_log_lines_is_limited_and_counted() {
-    let budget = LogRateLimit::default();
+    let rate_limit = LogRateLimit::default();
     let (counter, written) = CountingLayer::new();
-    let subscriber = tracing_subscriber::registry().with(budget.clone()).with(counter);
+    let subscriber = tracing_subscriber::registry().with(rate_limit.clone()).with(counter);
     tracing::subscriber::with_default(subscriber, || {
         for number in 0..10_000 {
             tracing::info!(number, "rejected");
@@ -77,10 +77,10 @@
         tracing::info!("another kind");
     });
     let written = written.load(std::sync::atomic::Ordering::Relaxed);
-    // The one-second window of the budget may end during the burst.
+    // The one-second window of the rate limit may end during the burst.
     assert!((2..2_000).contains(&written), "{written}");
-    let left_out: u64 = budget.take_dropped().iter().map(|(_, lines)| lines).sum();
-    assert_eq!(written + left_out, 10_001);
+    let dropped: u64 = rate_limit.take_dropped().iter().map(|(_, lines)| lines).sum();
+    assert_eq!(written + dropped, 10_001);
 }
 
 struct CountingLayer(std::sync::Arc<std::sync::atomic::AtomicU64>);
