--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -2,7 +2,7 @@
 //! zone.
 
 use crate::{dispatch, shared::GatewayShared};
-use egretseam_rpc::{LoadDatagram, MAX_DATAGRAM};
+use egretseam_rpc::{LoadDatagram, MAX_DATAGRAM_BYTES};
 use std::{
     net::SocketAddr,
     rc::{Rc, Weak},
@@ -18,7 +18,7 @@
 
 /// Receives load datagrams until the entry is dropped.
 pub(crate) async fn receive(shared: Weak<GatewayShared>, socket: UdpSocket) {
-    let mut buffer = [0; MAX_DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let received = socket.recv_from(&mut buffer).await;
         let Some(shared) = shared.upgrade() else { return };
--- a/crates/registrar/src/plans.rs
+++ b/crates/registrar/src/plans.rs
@@ -119,7 +119,7 @@
         version,
         origin: origin.address,
         origin_zone: origin.zone.clone(),
-        may_cut: allows_preemption(config, service),
+        may_preempt: allows_preemption(config, service),
     })
 }
 
