--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A process of a fleet without gates: which roles it runs, at which ports, and what happens when
-//! its settings change.
+//! A process of a fleet whose agents run no gate: starts the configured roles at their ports and
+//! applies changed settings.
 
 use anyhow::Context;
 use egretseam_config::{FleetAgent, FleetControl, FleetEntry, FleetSettings, PolicyOverrides};
@@ -16,63 +16,67 @@
 use egretseam_swarm::PlannerPolicy;
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
-/// Ports of the processes for each other, counted from the first peer port.
-const LOG_PORT: u16 = 0;
-const FEED_PORT: u16 = 1;
-const CHUNK_PORT: u16 = 2;
-const LOAD_PORT: u16 = 3;
-const METRICS_PORT: u16 = 10;
+/// Offsets from the first peer port of the ports that processes use among each other, and of the
+/// metrics port.
+const LOG_PORT_OFFSET: u16 = 0;
+const FEED_PORT_OFFSET: u16 = 1;
+const CHUNK_PORT_OFFSET: u16 = 2;
+const LOAD_PORT_OFFSET: u16 = 3;
+const METRICS_PORT_OFFSET: u16 = 10;
 
-/// The platform's network is private and gives processes no secret, so the preface only keeps
-/// misdirected connections out.
+/// The platform's network is private and provides no secret to the processes, so the connection
+/// preface derived from this token only rejects misdirected connections.
 const PEER_TOKEN: &str = "egretseam fleet on a private network";
-/// How long callers may keep the directory's answer. Some keep it three times as long, which must
-/// end well before a stopping process does.
+/// How long callers may cache the response to an address lookup. Some cache it for three times this
+/// long, which must end well before a stopping process exits.
 const ADDRESS_LIFETIME: Duration = Duration::from_secs(1);
-/// How long callers keep the entries' addresses that an entry of another zone told them: two seconds
-/// in vain before each question cost less of four seconds than of one.
-const FAR_ADDRESS_LIFETIME: Duration = Duration::from_secs(4);
-/// Margin by which requests stop going to targets with an older version before the bound, beside
-/// the time that they wait in an engine: the time on the way.
-const VERSION_MARGIN: Duration = Duration::from_millis(600);
-/// Entries of the log behind a snapshot. A configuration has up to a hundred KiB, so this bounds
-/// the memory of the log to a few MiB.
-const SNAPSHOT_EVERY: u64 = 24;
-/// Silence after which a lost control member is replaced: longer than a killed process takes to be
-/// back, shorter than the time after which the platform may take the next one.
-const REPLACE_AFTER: Duration = Duration::from_millis(2_500);
-/// Time before the version's bound by which the last engine is told to switch.
+/// How long callers may cache the response to an address lookup by an entry of another availability
+/// zone. Before each such lookup callers wait 2 s in vain for the entries of their own zone, which is
+/// a smaller share of 4 s than of 1 s.
+const CROSS_ZONE_ADDRESS_LIFETIME: Duration = Duration::from_secs(4);
+/// How long before the end of the staleness bound requests stop going to targets with an older
+/// version, in addition to their wait in an engine: covers the time in flight.
+const STALENESS_MARGIN: Duration = Duration::from_millis(600);
+/// Number of log entries after which a snapshot is taken. A configuration has up to 100 KiB, so this
+/// bounds the memory of the log to a few MiB.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 24;
+/// Time without an answer after which a control member is replaced: longer than a killed process
+/// takes to restart, shorter than the time until the platform may stop the next member.
+const MEMBER_REPLACE_DELAY: Duration = Duration::from_millis(2_500);
+/// How long before the end of the staleness bound the last engine is ordered to switch.
 const SWITCH_RESERVE: Duration = Duration::from_millis(1_600);
 
-/// Part of an instance's link that chunks for other agents may take. Failure guarded: chunks queue
-/// up before the events of live answers on the same narrow link; it showed as pauses of up to
-/// 1.4 s in streams while weights spread.
+/// Fraction of an instance's link that uploads of chunks to other agents may use. Without this
+/// limit, chunks queue ahead of the events of live responses on the same slow link, which pauses
+/// streams for up to 1.4 s while weights are distributed.
 const UPLOAD_SHARE: f64 = 0.85;
-/// Agents that fetch a version from the origin: enough to keep its link busy while one of them
-/// hangs. What they fetch leaves by their links first: with 12 instead of 6 of 24 agents the last
-/// had all chunks 4.3 s after the naming instead of 4.9 s (one play each).
-const SEEDERS: usize = 12;
-/// How long a chunk that is in another zone is waited for in the own one. Failure guarded: all
-/// agents of a zone fetch across a link between regions that live answers share, and requests and
-/// callers' leaving reach targets most of a second late.
-const ZONE_PATIENCE: Duration = Duration::from_millis(1_200);
-/// Chunks fetched from peers at a time: as many bytes may queue before a request on the link. Each
-/// waits its turn at a peer's link, so with fewer of them links stand idle between: with 5 instead
-/// of 3 the last of 24 agents had all chunks 4.9 s after the naming instead of 5.4 s.
-const PEER_FETCHES: usize = 5;
+/// Most agents that fetch a version from the origin: enough to keep the origin's link busy while one
+/// of them hangs. Chunks first leave the seeders over the seeders' own links: with 12 instead of 6
+/// seeders among 24 agents, the last agent has all chunks 4.3 s instead of 4.9 s after publication
+/// (one run each).
+const MAX_SEEDERS: usize = 12;
+/// How long an agent waits for a chunk to appear in its own availability zone before it fetches it
+/// from another. Without this delay, all agents of a zone fetch over an inter-region link that live
+/// responses share, and requests and callers' disconnects reach targets most of a second late.
+const CROSS_ZONE_DELAY: Duration = Duration::from_millis(1_200);
+/// Most chunks that an agent fetches from peers at a time; their bytes may queue ahead of a request
+/// on the link. Each fetch waits for its turn on the peer's link, so with fewer fetches links are
+/// idle in between: with 5 instead of 3, the last of 24 agents has all chunks 4.9 s instead of 5.4 s
+/// after publication.
+const MAX_PEER_FETCHES: usize = 5;
 
-/// What a platform speaks.
+/// HTTP dialects of a platform.
 #[derive(Clone)]
 pub struct FleetDialects {
-    /// With callers and targets.
+    /// Between entries and callers or targets.
     pub callers: Rc<dyn CallerDialect>,
-    /// With targets and operators at control.
+    /// Between control members and targets or operators.
     pub control: Rc<dyn ControlDialect>,
-    /// With engines and origins.
+    /// Between agents and engines or origins.
     pub engine: Rc<dyn EngineDialect>,
 }
 
-/// A running process.
+/// Running roles of a fleet process.
 pub struct FleetRuntime {
     entry: Option<GatewayRuntime>,
     control: Option<RegistrarRuntime>,
@@ -81,7 +85,8 @@
     settings: FleetSettings,
 }
 
-/// Addresses of the seeds for each use, shared with the roles so that a change reaches them.
+/// `host:port` of the seeds' feed and log listeners, shared with the roles so that changed settings
+/// reach them.
 #[derive(Clone, Default)]
 struct FleetSeeds {
     feeds: Rc<RefCell<Vec<String>>>,
@@ -90,21 +95,21 @@
 
 impl FleetSeeds {
     fn set(&self, settings: &FleetSettings) {
-        let at = |offset: u16| {
+        let addresses = |offset: u16| {
             let port = settings.first_peer_port + offset;
             let address = |seed: &SocketAddr| SocketAddr::new(seed.ip(), port).to_string();
             settings.control_seeds.iter().map(address).collect()
         };
-        *self.feeds.borrow_mut() = at(FEED_PORT);
-        *self.logs.borrow_mut() = at(LOG_PORT);
+        *self.feeds.borrow_mut() = addresses(FEED_PORT_OFFSET);
+        *self.logs.borrow_mut() = addresses(LOG_PORT_OFFSET);
     }
 }
 
 impl FleetRuntime {
-    /// Starts all roles that the settings name, on the current thread.
+    /// Starts all roles that have a section in the settings, on the current thread.
     ///
     /// # Errors
-    /// Says which role could not start and why.
+    /// States which role failed to start and why.
     pub fn start(settings: FleetSettings, dialects: &FleetDialects) -> anyhow::Result<Self> {
         let metrics = DaemonMetrics::new();
         let seeds = FleetSeeds::default();
@@ -123,35 +128,35 @@
         Ok(Self { entry, control, _agent: agent, seeds, settings })
     }
 
-    /// Version of the configuration that the entry serves by; 0 for none.
+    /// Version of the configuration in force at the entry; 0 for none.
     pub fn config_version(&self) -> u64 {
         self.entry.as_ref().map_or(0, GatewayRuntime::config_version)
     }
 
-    /// Whether the entry sends requests to the target of that identity.
+    /// Whether the entry knows that the target `id` accepts requests; false without an entry.
     pub fn is_target_ready(&self, id: &str) -> bool {
         self.entry.as_ref().is_some_and(|entry| entry.is_target_ready(id))
     }
 
-    /// Takes changed settings in. Seeds change in a running process; a change of anything else is
-    /// logged and holds from the next start.
+    /// Applies changed settings. Only the seeds change in a running process; any other change is
+    /// logged and takes effect at the next start.
     pub fn reload(&mut self, settings: FleetSettings) {
         if settings == self.settings {
             return;
         }
         tracing::info!(seeds = ?settings.control_seeds, "settings changed");
         self.seeds.set(&settings);
-        let kept = FleetSettings {
+        let with_new_seeds = FleetSettings {
             control_seeds: settings.control_seeds.clone(),
             ..self.settings.clone()
         };
-        if kept != settings {
-            tracing::warn!("some changed settings hold only from the next start");
+        if with_new_seeds != settings {
+            tracing::warn!("some changed settings take effect only after a restart");
         }
         self.settings = settings;
     }
 
-    /// Stops without cutting a request off.
+    /// Stops the entry without interrupting requests, then the control member.
     pub async fn stop(self) {
         if let Some(entry) = self.entry {
             entry.stop().await;
@@ -179,7 +184,8 @@
 
     fn bind_datagrams(&self, offset: u16) -> anyhow::Result<std::net::UdpSocket> {
         let address = self.peer_address(offset);
-        std::net::UdpSocket::bind(address).with_context(|| format!("datagrams at {address}"))
+        std::net::UdpSocket::bind(address)
+            .with_context(|| format!("bind the datagram socket {address}"))
     }
 
     fn entry(
@@ -191,7 +197,7 @@
             callers: self.bind(entry.caller_address)?,
             health: self.bind(entry.health_address)?,
             directory: self.bind(entry.directory_address)?,
-            loads: self.bind_datagrams(LOAD_PORT)?,
+            loads: self.bind_datagrams(LOAD_PORT_OFFSET)?,
         };
         let settings = self.settings;
         let policy = &settings.policy;
@@ -209,11 +215,11 @@
                 window: settings.retry_window,
                 ..RetryPolicy::default()
             },
-            staleness_bound: settings.staleness_bound.saturating_sub(VERSION_MARGIN),
+            staleness_bound: settings.staleness_bound.saturating_sub(STALENESS_MARGIN),
             address_lifetime: ADDRESS_LIFETIME,
             cross_zone_address_lifetime: policy
                 .cross_zone_address_lifetime
-                .unwrap_or(FAR_ADDRESS_LIFETIME),
+                .unwrap_or(CROSS_ZONE_ADDRESS_LIFETIME),
             detects_retries: policy.detects_retries.unwrap_or(true),
             max_attempts: policy.max_attempts.map_or(u32::MAX, |most| most as u32),
             stream_idle_timeout: policy.stream_idle_timeout.unwrap_or(DEFAULT_STREAM_IDLE_TIMEOUT),
@@ -230,25 +236,25 @@
         dialect: Rc<dyn ControlDialect>,
     ) -> anyhow::Result<RegistrarRuntime> {
         let settings = self.settings;
-        let log_address = self.peer_address(LOG_PORT);
-        let feed_address = self.peer_address(FEED_PORT);
+        let log_address = self.peer_address(LOG_PORT_OFFSET);
+        let feed_address = self.peer_address(FEED_PORT_OFFSET);
         let listeners = RegistrarListeners {
             http: self.bind(control.http_address)?,
             peers: self.bind(log_address)?,
             feeds: self.bind(feed_address)?,
-            loads: self.bind_datagrams(FEED_PORT)?,
+            loads: self.bind_datagrams(FEED_PORT_OFFSET)?,
         };
         let secret = PeerSecret::derive(PEER_TOKEN);
         let name = settings.instance.to_string();
         let folder = control.data_folder.clone();
         let mut member = ControlOptions::new(&name, folder, &log_address.to_string(), secret);
-        member.snapshot_every = SNAPSHOT_EVERY;
+        member.snapshot_every = SNAPSHOT_INTERVAL_ENTRIES;
         member.formation = Some(GroupFormation {
             seeds: self.seeds.logs.clone(),
             founding: settings.bootstrap,
             repair: RepairPolicy {
                 voters: (settings.tolerated_failures * 2 + 1).max(3) as usize,
-                replace_after: REPLACE_AFTER,
+                replace_after: MEMBER_REPLACE_DELAY,
             },
         });
         let options = RegistrarOptions {
@@ -256,7 +262,7 @@
             feed_address: feed_address.to_string(),
             feed_seeds: self.seeds.feeds.clone(),
             feed_port: feed_address.port(),
-            load_port: self.settings.first_peer_port + LOAD_PORT,
+            load_port: self.settings.first_peer_port + LOAD_PORT_OFFSET,
             announce_interval: settings.announce_interval,
         };
         let runtime = RegistrarRuntime::start(options, dialect, listeners, self.metrics);
@@ -268,7 +274,7 @@
         agent: &FleetAgent,
         dialect: Rc<dyn EngineDialect>,
     ) -> anyhow::Result<StagerRuntime> {
-        let address = self.peer_address(CHUNK_PORT);
+        let address = self.peer_address(CHUNK_PORT_OFFSET);
         let policy = &self.settings.policy;
         let upload_share = policy.upload_share.unwrap_or(UPLOAD_SHARE);
         let listeners = StagerListeners { chunks: self.bind(address)? };
@@ -280,10 +286,10 @@
             feed_seeds: self.seeds.feeds.clone(),
             chunk_port: address.port(),
             planner: PlannerPolicy {
-                max_peer_fetches: PEER_FETCHES,
+                max_peer_fetches: MAX_PEER_FETCHES,
                 max_fetches_per_peer: 1,
-                max_seeders: policy.max_seeders.map_or(SEEDERS, |seeders| seeders as usize),
-                cross_zone_delay: ZONE_PATIENCE,
+                max_seeders: policy.max_seeders.map_or(MAX_SEEDERS, |seeders| seeders as usize),
+                cross_zone_delay: CROSS_ZONE_DELAY,
                 ..PlannerPolicy::default()
             },
             upload_bytes_per_second: (self.settings.link_mbps * upload_share * 125_000.0) as u64,
@@ -298,57 +304,58 @@
         runtime.context("start the agent")
     }
 
-    /// Serves the metrics to whoever asks.
+    /// Serves the metrics over HTTP, without authentication.
     fn metrics(&self) -> anyhow::Result<()> {
-        let listener = self.bind(self.peer_address(METRICS_PORT))?;
+        let listener = self.bind(self.peer_address(METRICS_PORT_OFFSET))?;
         let metrics = self.metrics.clone();
         spawn_accept(listener, move |stream| Some(serve_metrics(stream, metrics.clone())))
             .context("serve metrics")
     }
 }
 
-/// How requests are placed: the project's figures, where settings do not override them.
+/// Policy for choosing targets: the defaults with the overrides of the settings.
 fn placement_policy(overrides: &PolicyOverrides) -> PlacementPolicy {
-    let usual = PlacementPolicy::default();
+    let defaults = PlacementPolicy::default();
     PlacementPolicy {
-        late_max_fill: overrides.late_max_fill.unwrap_or(usual.late_max_fill),
-        late_prefills: overrides.late_prefills.unwrap_or(usual.late_prefills),
-        cross_zone_penalty: overrides.cross_zone_penalty.unwrap_or(usual.cross_zone_penalty),
+        late_max_fill: overrides.late_max_fill.unwrap_or(defaults.late_max_fill),
+        late_prefills: overrides.late_prefills.unwrap_or(defaults.late_prefills),
+        cross_zone_penalty: overrides.cross_zone_penalty.unwrap_or(defaults.cross_zone_penalty),
         free_share_exponent: overrides
             .free_share_exponent
-            .map_or(usual.free_share_exponent, |exponent| exponent as i32),
-        old_version_penalty: overrides.old_version_penalty.unwrap_or(usual.old_version_penalty),
-        slowness_penalty: overrides.slowness_penalty.unwrap_or(usual.slowness_penalty),
-        cold_start_penalty: overrides.cold_start_penalty.unwrap_or(usual.cold_start_penalty),
-        limits_entry_share: overrides.limits_entry_share.unwrap_or(usual.limits_entry_share),
-        skips_hung: overrides.skips_hung.unwrap_or(usual.skips_hung),
-        ejects: overrides.ejects.unwrap_or(usual.ejects),
-        ..usual
+            .map_or(defaults.free_share_exponent, |exponent| exponent as i32),
+        old_version_penalty: overrides.old_version_penalty.unwrap_or(defaults.old_version_penalty),
+        slowness_penalty: overrides.slowness_penalty.unwrap_or(defaults.slowness_penalty),
+        cold_start_penalty: overrides.cold_start_penalty.unwrap_or(defaults.cold_start_penalty),
+        limits_entry_share: overrides.limits_entry_share.unwrap_or(defaults.limits_entry_share),
+        skips_hung: overrides.skips_hung.unwrap_or(defaults.skips_hung),
+        ejects: overrides.ejects.unwrap_or(defaults.ejects),
+        ..defaults
     }
 }
 
-/// How requests wait, likewise.
+/// Policy for requests that wait for a slot: the defaults with the overrides of the settings.
 fn wait_policy(overrides: &PolicyOverrides) -> WaitPolicy {
-    let usual = WaitPolicy::default();
+    let defaults = WaitPolicy::default();
     WaitPolicy {
-        late_limit: overrides.late_limit.unwrap_or(usual.late_limit),
-        outage_limit: overrides.outage_limit.unwrap_or(usual.outage_limit),
+        late_limit: overrides.late_limit.unwrap_or(defaults.late_limit),
+        outage_limit: overrides.outage_limit.unwrap_or(defaults.outage_limit),
         overload_objective_share: overrides
             .overload_objective_share
-            .unwrap_or(usual.overload_objective_share),
-        ..usual
+            .unwrap_or(defaults.overload_objective_share),
+        ..defaults
     }
 }
 
 async fn serve_metrics(stream: tokio::net::TcpStream, metrics: DaemonMetrics) {
-    /// How long a reader may take to ask.
-    const ASK_LIMIT: Duration = Duration::from_secs(2);
-    const MAX_HEAD: usize = 4_096;
+    /// How long a client may take to send its request.
+    const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+    const MAX_HEAD_BYTES: usize = 4_096;
     let Ok(mut connection) = HttpConnection::new(stream, &ConnectionOptions::default()) else {
         return;
     };
-    let asked = tokio::time::timeout(ASK_LIMIT, connection.read_request(MAX_HEAD)).await;
-    if !matches!(asked, Ok(Ok(Some(_)))) {
+    let request =
+        tokio::time::timeout(REQUEST_TIMEOUT, connection.read_request(MAX_HEAD_BYTES)).await;
+    if !matches!(request, Ok(Ok(Some(_)))) {
         return;
     }
     let mut head = HeadWriter::response(200, b"OK");
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,5 @@
-//! One process of ours: the roles whose sections its settings hold, around one operators' listener.
+//! A daemon process: the roles that have a section in its settings and, in [`DaemonRuntime`], one
+//! operators' listener.
 
 mod fleet;
 mod log_rate_limit;
--- a/crates/daemon/src/log_rate_limit.rs
+++ b/crates/daemon/src/log_rate_limit.rs
@@ -1,9 +1,8 @@
-//! Bounds the volume of the log: so many lines a second of each kind, and a count of what was left
-//! out. A kind is one place in the code.
+//! Limits the log lines per second of each call site and counts the dropped ones.
 //!
-//! Failure guarded: under a storm of refusals, writing a line for each takes the processor time
-//! that serving needs, and the storm grows. It shows as entries that slow down when they should
-//! only refuse.
+//! Without this limit, an entry that rejects many requests and logs each rejection spends the
+//! processor time that serving needs, which causes more rejections: the entry slows down when it
+//! should only reject.
 
 use indexmap::IndexMap;
 use std::{
@@ -13,48 +12,48 @@
 use tracing::{Event, Subscriber, callsite::Identifier};
 use tracing_subscriber::{Layer, layer::Context};
 
-/// Lines of one kind in one second; about twice what an entry writes at its usual load.
-const LINES_PER_SECOND: u32 = 120;
-/// Window in which lines are counted.
+/// Most lines of one call site in a [`WINDOW`]; about twice what an entry writes at its usual load.
+const MAX_LINES_PER_WINDOW: u32 = 120;
+/// Time over which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
-struct KindRow {
+struct CallsiteCounter {
     name: &'static str,
-    began: Instant,
+    window_start: Instant,
     written: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
-/// Counts lines by kind; a layer that disables those beyond the budget.
+/// Layer that drops log lines of a call site beyond its limit and counts them.
 #[derive(Clone, Debug, Default)]
 pub struct LogRateLimit {
-    rows: Arc<Mutex<IndexMap<Identifier, KindRow>>>,
+    counters: Arc<Mutex<IndexMap<Identifier, CallsiteCounter>>>,
 }
 
 impl LogRateLimit {
-    /// Whether a line of that kind may be written now.
-    fn admit(&self, kind: Identifier, name: &'static str, now: Instant) -> bool {
-        let Ok(mut rows) = self.rows.lock() else { return true };
-        let fresh = || KindRow { name, began: now, written: 0, left_out: 0 };
-        let row = rows.entry(kind).or_insert_with(fresh);
-        if now.duration_since(row.began) >= WINDOW {
-            row.began = now;
-            row.written = 0;
+    /// Counts a line of the call site and returns whether it may be written.
+    fn admit(&self, callsite: Identifier, name: &'static str, now: Instant) -> bool {
+        let Ok(mut counters) = self.counters.lock() else { return true };
+        let new_counter = || CallsiteCounter { name, window_start: now, written: 0, dropped: 0 };
+        let counter = counters.entry(callsite).or_insert_with(new_counter);
+        if now.duration_since(counter.window_start) >= WINDOW {
+            counter.window_start = now;
+            counter.written = 0;
         }
-        if row.written < LINES_PER_SECOND {
-            row.written += 1;
+        if counter.written < MAX_LINES_PER_WINDOW {
+            counter.written += 1;
             return true;
         }
-        row.left_out += 1;
+        counter.dropped += 1;
         false
     }
 
-    /// Lines left out since the last call, by the place in the code that writes them.
+    /// Returns the lines dropped since the last call, by the name of the call site.
     pub fn take_dropped(&self) -> Vec<(&'static str, u64)> {
-        let Ok(mut rows) = self.rows.lock() else { return Vec::new() };
-        let silenced = rows.values_mut().filter(|row| row.left_out > 0);
-        silenced.map(|row| (row.name, std::mem::take(&mut row.left_out))).collect()
+        let Ok(mut counters) = self.counters.lock() else { return Vec::new() };
+        let limited = counters.values_mut().filter(|counter| counter.dropped > 0);
+        limited.map(|counter| (counter.name, std::mem::take(&mut counter.dropped))).collect()
     }
 }
 
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Starts roles in the order in which they need each other, and stops them in the reverse order.
+//! Starts the roles of a process in the order of their dependencies and stops them in reverse order.
 
 use anyhow::Context;
 use egretseam_agent::{AgentListeners, AgentOptions, AgentRuntime, AgentShared, TargetKind};
@@ -21,7 +21,7 @@
 /// Secrets read from the files that the settings name.
 #[derive(Clone, Debug)]
 pub struct DaemonTokens {
-    /// Shared by our processes.
+    /// Shared by the egretseam processes.
     pub peer: SecretToken,
     /// Presented by operators.
     pub operator: SecretToken,
@@ -31,7 +31,7 @@
     /// Reads both files.
     ///
     /// # Errors
-    /// Fails on a file that is unreadable or holds too short a token.
+    /// Fails if a file cannot be read or its token is too short.
     pub fn read(settings: &DaemonSettings) -> anyhow::Result<Self> {
         Ok(Self {
             peer: SecretToken::read(&settings.peer_token_file)?,
@@ -53,27 +53,27 @@
     /// Binds every address that the settings name.
     ///
     /// # Errors
-    /// Says which address could not be bound, for example because it is in use.
+    /// States which address could not be bound, for example because it is in use.
     pub fn bind(settings: &DaemonSettings) -> anyhow::Result<Self> {
         Self::bind_from(settings, &mut Vec::new())
     }
 
-    /// As [`DaemonListeners::bind`], but takes listeners that are already bound to an address the
-    /// settings name from `bound`. For ports chosen by the system: between closing such a port
-    /// and binding it again, anyone may get it.
+    /// As [`DaemonListeners::bind`], but takes the listeners that are already bound to an address of
+    /// the settings from `bound`. For ports chosen by the operating system: if such a port is closed
+    /// and bound again, another process may bind it in between.
     ///
     /// # Errors
-    /// Says which address could not be bound.
+    /// States which address could not be bound.
     pub fn bind_from(
         settings: &DaemonSettings,
         bound: &mut Vec<TcpListener>,
     ) -> anyhow::Result<Self> {
         let mut bind = |address: &str| {
-            let held = |listener: &TcpListener| {
+            let has_address = |listener: &TcpListener| {
                 listener.local_addr().is_ok_and(|local| local.to_string() == address)
             };
-            if let Some(at) = bound.iter().position(held) {
-                return Ok(bound.swap_remove(at));
+            if let Some(index) = bound.iter().position(has_address) {
+                return Ok(bound.swap_remove(index));
             }
             TcpListener::bind(address).with_context(|| format!("listen on {address}"))
         };
@@ -97,21 +97,21 @@
     }
 }
 
-/// A running process.
+/// Running roles of a process and its operators' listener.
 pub struct DaemonRuntime {
     control: Option<ControlRuntime>,
     entry: Option<EntryRuntime>,
     agent: Option<AgentRuntime>,
     operator: ServerHandle,
     metrics: DaemonMetrics,
-    stop_limit: Duration,
+    stop_timeout: Duration,
 }
 
 impl DaemonRuntime {
     /// Starts all roles on the current thread.
     ///
     /// # Errors
-    /// Says which role could not start and why.
+    /// States which role failed to start and why.
     pub fn start(
         settings: &DaemonSettings,
         tokens: &DaemonTokens,
@@ -165,8 +165,8 @@
         );
         let operator =
             spawn_server(listeners.operator, Rc::new(handler), ServerOptions::default())?;
-        let stop_limit = settings.stop_timeout;
-        Ok(Self { control, entry, agent, operator, metrics, stop_limit })
+        let stop_timeout = settings.stop_timeout;
+        Ok(Self { control, entry, agent, operator, metrics, stop_timeout })
     }
 
     /// The control member, if the process runs one.
@@ -189,17 +189,17 @@
         &self.metrics
     }
 
-    /// Stops without cutting anything off: the agent and the entry finish what they have, the
-    /// control member goes last because both still need it.
+    /// Stops gracefully: the agent, then the entry finish their requests in progress, each for up to
+    /// the stop timeout. The control member stops last of the roles because both still need it.
     pub async fn stop(self) {
-        let limit = self.stop_limit;
+        let timeout = self.stop_timeout;
         if let Some(agent) = self.agent
-            && !agent.stop(limit).await
+            && !agent.stop(timeout).await
         {
             tracing::warn!("the agent stopped with requests in progress");
         }
         if let Some(entry) = self.entry
-            && !entry.stop(limit).await
+            && !entry.stop(timeout).await
         {
             tracing::warn!("the entry stopped with requests in progress");
         }
@@ -225,7 +225,7 @@
     options.caller_address = entry.advertised_caller_address.clone();
     options.peer_address = entry.advertised_peer_address.clone();
     options.lease = entry.lease;
-    // Three watches fit into a lease, so one lost answer does not end it.
+    // Three watch calls fit into a lease, so it does not expire if one response is lost.
     options.max_watch_wait = entry.lease / 3;
     options.address_lifetime = entry.address_lifetime;
     options.default_deadline = entry.default_deadline;
@@ -275,7 +275,7 @@
     options
 }
 
-/// What the operators' listener shows of the roles.
+/// State of the roles for the operators' listener: targets and readiness.
 struct RoleViews {
     entry: Option<Rc<EntryShared>>,
     agent: Option<Rc<AgentShared>>,
@@ -300,7 +300,7 @@
             report: view.report,
         };
         let items: Vec<TargetItem> = entry.target_views().into_iter().map(item).collect();
-        Some(serde_json::to_value(items).expect("our own types encode to JSON"))
+        Some(serde_json::to_value(items).expect("target items are serializable to JSON"))
     }
 }
 
--- a/crates/daemon/src/thread.rs
+++ b/crates/daemon/src/thread.rs
@@ -1,4 +1,4 @@
-//! A process of ours on a thread of its own, for `egretseam local`, tests and measurements.
+//! A daemon on its own thread, for `egretseam local`, tests and benchmarks.
 
 use crate::runtime::{DaemonListeners, DaemonRuntime, DaemonTokens};
 use anyhow::Context;
@@ -9,7 +9,7 @@
 };
 use tokio::sync::oneshot;
 
-/// How a daemon's thread is to end.
+/// How a daemon's thread ends.
 enum StopKind {
     Graceful,
     Abrupt,
@@ -31,36 +31,36 @@
         tokens: DaemonTokens,
         listeners: DaemonListeners,
     ) -> anyhow::Result<Self> {
-        let (stop, stopped) = oneshot::channel();
-        let (started, start) = std_mpsc::channel();
+        let (stop, stop_request) = oneshot::channel();
+        let (start_sender, start_result) = std_mpsc::channel();
         let name = settings.instance.to_string();
         let body = move || {
             actix_rt::System::new().block_on(async move {
                 match DaemonRuntime::start(&settings, &tokens, listeners) {
                     Ok(runtime) => {
-                        started.send(Ok(())).ok();
-                        match stopped.await {
+                        start_sender.send(Ok(())).ok();
+                        match stop_request.await {
                             Ok(StopKind::Graceful) => runtime.stop().await,
                             Ok(StopKind::Abrupt) | Err(_) => drop(runtime),
                         }
                     }
                     Err(error) => {
-                        started.send(Err(error)).ok();
+                        start_sender.send(Err(error)).ok();
                     }
                 }
             });
         };
         let thread = thread::Builder::new().name(name).spawn(body).context("start a thread")?;
-        start.recv().context("the daemon's thread ended early")??;
+        start_result.recv().context("the daemon's thread ended before its roles started")??;
         Ok(Self { stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Stops gracefully and waits for the end.
+    /// Stops gracefully and waits until the thread has ended.
     pub fn stop(mut self) {
         self.end(StopKind::Graceful);
     }
 
-    /// Asks for a graceful stop without waiting; the returned thread ends with it.
+    /// Requests a graceful stop without waiting; the returned thread ends when the daemon has stopped.
     pub fn begin_stop(mut self) -> Option<JoinHandle<()>> {
         if let Some(stop) = self.stop.take() {
             stop.send(StopKind::Graceful).ok();
@@ -68,7 +68,7 @@
         self.thread.take()
     }
 
-    /// Stops at once, as a crash would: sockets close, nothing is finished.
+    /// Stops at once, as in a crash: sockets close and requests in progress are aborted.
     pub fn kill(mut self) {
         self.end(StopKind::Abrupt);
     }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,7 +1,7 @@
-//! A client of the operators' HTTP interface, as the command line uses it.
+//! Client of the operators' HTTP interface, used by the command line.
 //!
-//! Every change draws an operation id once and resends under it, so a lost reply is harmless: the
-//! members give the first outcome again.
+//! Each change has one operation id, which its retries repeat. A lost response is harmless: the
+//! control members return the first outcome again.
 
 use awc::{Client, ClientResponse, http::StatusCode};
 use egretseam_catalog::{ConfigEdit, ConfigView, EditRejection, EditRequest, HistoryRecord};
@@ -15,37 +15,37 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long one call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(8);
-/// How often a change with an unknown outcome is sent again.
-const RESENDS: usize = 3;
-/// Largest answer read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// How long one request may take.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
+/// Most attempts for a change that was not executed or whose outcome is unknown.
+const MAX_ATTEMPTS: usize = 3;
+/// Largest response body that is read.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why an operator's call did not succeed.
+/// Why an operator's request failed.
 #[derive(Debug, Error)]
 pub enum OperatorError {
-    /// Someone else changed the thing first; nothing was changed.
-    #[error("it was changed meanwhile and is at revision {current} now")]
+    /// The change is based on an outdated revision; nothing was changed.
+    #[error("conflict: changed meanwhile, now at revision {current}")]
     Conflict {
-        /// Its present revision.
+        /// Current revision of the changed item.
         current: Revision,
     },
-    /// The change breaks a rule; nothing was changed.
+    /// The change violates a rule; nothing was changed.
     #[error("{0}")]
     Rejected(String),
     /// The token is wrong or missing.
-    #[error("the operator token was refused")]
+    #[error("the operator token was rejected")]
     Unauthorized,
-    /// Nothing was changed, because nobody could take the call.
-    #[error("not done: {0}")]
+    /// The request was not executed; nothing was changed.
+    #[error("not executed: {0}")]
     NotExecuted(String),
-    /// Nobody knows whether the change was made; look before trying again.
+    /// It is unknown whether the change was made; check the configuration before a retry.
     #[error("outcome unknown: {0}")]
     Unknown(String),
 }
 
-/// A target as an entry shows it.
+/// A target as listed by an entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TargetItem {
     /// The agent's report.
@@ -55,7 +55,7 @@
     pub silent_millis: u64,
     /// Requests of that entry in progress there.
     pub own_in_flight: u32,
-    /// Whether that entry avoids it for its failures.
+    /// Whether that entry has ejected it because of its failures.
     pub ejected: bool,
 }
 
@@ -74,7 +74,7 @@
     change: &'a MembershipChange,
 }
 
-/// A client of one process's operators' listener.
+/// Client of the operators' listener of one process.
 #[derive(Clone)]
 pub struct OperatorClient {
     client: Client,
@@ -84,31 +84,31 @@
 }
 
 impl OperatorClient {
-    /// A client of `host:port`; `actor` stands in the history of what it changes.
+    /// A client of `host:port`; `actor` is recorded in the history of its changes.
     pub fn new(address: &str, token: SecretToken, actor: &str) -> Self {
         let client = http_client(ClientOptions::default());
         Self { client, address: address.to_owned(), token, actor: actor.to_owned() }
     }
 
-    /// Makes a change based on `base`.
+    /// Submits a change based on revision `base` and returns the new revision.
     ///
     /// # Errors
     /// See [`OperatorError`].
     pub async fn edit(&self, base: Revision, edit: ConfigEdit) -> Result<Revision, OperatorError> {
         let operation = OperationId(rand::random());
         let request = EditRequest { operation, base, actor: self.actor.clone(), edit };
-        let mut last = OperatorError::NotExecuted("nothing was sent".to_owned());
+        let mut last_error = OperatorError::NotExecuted("no request was sent".to_owned());
         let mut may_have_run = false;
-        for _ in 0..RESENDS {
+        for _ in 0..MAX_ATTEMPTS {
             match self.edit_once(&request).await {
                 Err(error @ (OperatorError::Unknown(_) | OperatorError::NotExecuted(_))) => {
                     may_have_run |= matches!(error, OperatorError::Unknown(_));
-                    last = error;
+                    last_error = error;
                 }
-                settled => return settled,
+                result => return result,
             }
         }
-        match last {
+        match last_error {
             OperatorError::NotExecuted(detail) if may_have_run => {
                 Err(OperatorError::Unknown(detail))
             }
@@ -117,19 +117,19 @@
     }
 
     async fn edit_once(&self, request: &EditRequest) -> Result<Revision, OperatorError> {
-        let mut answer = self.post("/v1/edits", request).await?;
-        match answer.status() {
-            StatusCode::OK => Ok(read::<AcceptedReply>(&mut answer).await?.revision),
-            StatusCode::CONFLICT if reported_failure(answer.headers()).is_none() => {
-                let current = read::<ConflictReply>(&mut answer).await?.current;
+        let mut response = self.post("/v1/edits", request).await?;
+        match response.status() {
+            StatusCode::OK => Ok(read::<AcceptedReply>(&mut response).await?.revision),
+            StatusCode::CONFLICT if reported_failure(response.headers()).is_none() => {
+                let current = read::<ConflictReply>(&mut response).await?.current;
                 Err(OperatorError::Conflict { current })
             }
             StatusCode::NOT_FOUND | StatusCode::UNPROCESSABLE_ENTITY
-                if reported_failure(answer.headers()).is_none() =>
+                if reported_failure(response.headers()).is_none() =>
             {
-                Err(OperatorError::Rejected(read::<EditRejection>(&mut answer).await?.message))
+                Err(OperatorError::Rejected(read::<EditRejection>(&mut response).await?.message))
             }
-            _ => Err(failure(&mut answer).await),
+            _ => Err(failure(&mut response).await),
         }
     }
 
@@ -141,7 +141,7 @@
         self.get("/v1/config").await
     }
 
-    /// Targets as the asked entry sees them.
+    /// Targets that the entry of this process knows.
     ///
     /// # Errors
     /// See [`OperatorError`].
@@ -149,7 +149,7 @@
         self.get("/v1/targets").await
     }
 
-    /// The control group.
+    /// Members of the control group.
     ///
     /// # Errors
     /// See [`OperatorError`].
@@ -157,7 +157,7 @@
         self.get("/v1/members").await
     }
 
-    /// Accepted changes of a profile, oldest first.
+    /// Committed changes of a profile, oldest first.
     ///
     /// # Errors
     /// See [`OperatorError`].
@@ -170,19 +170,20 @@
     /// # Errors
     /// See [`OperatorError`].
     pub async fn change_members(&self, change: &MembershipChange) -> Result<(), OperatorError> {
-        let mut answer = self.post("/v1/members", &MemberRequest { change }).await?;
-        if answer.status().is_success() { Ok(()) } else { Err(failure(&mut answer).await) }
+        let mut response = self.post("/v1/members", &MemberRequest { change }).await?;
+        if response.status().is_success() { Ok(()) } else { Err(failure(&mut response).await) }
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, OperatorError> {
         let url = format!("http://{}{path}", self.address);
-        let call = self.client.get(url).bearer_auth(self.token.expose()).timeout(CALL_LIMIT);
-        let sent = call.send().await;
-        let mut answer = sent.map_err(|error| OperatorError::NotExecuted(error.to_string()))?;
-        if answer.status().is_success() {
-            return read(&mut answer).await;
+        let request =
+            self.client.get(url).bearer_auth(self.token.expose()).timeout(REQUEST_TIMEOUT);
+        let result = request.send().await;
+        let mut response = result.map_err(|error| OperatorError::NotExecuted(error.to_string()))?;
+        if response.status().is_success() {
+            return read(&mut response).await;
         }
-        Err(failure(&mut answer).await)
+        Err(failure(&mut response).await)
     }
 
     async fn post<T: Serialize>(
@@ -191,8 +192,9 @@
         body: &T,
     ) -> Result<ClientResponse, OperatorError> {
         let url = format!("http://{}{path}", self.address);
-        let call = self.client.post(url).bearer_auth(self.token.expose()).timeout(CALL_LIMIT);
-        call.send_json(body).await.map_err(|error| {
+        let request =
+            self.client.post(url).bearer_auth(self.token.expose()).timeout(REQUEST_TIMEOUT);
+        request.send_json(body).await.map_err(|error| {
             let report = egretseam_http::send_failure(&error);
             match report.verdict {
                 RequestVerdict::NotRun => OperatorError::NotExecuted(error.to_string()),
@@ -202,16 +204,16 @@
     }
 }
 
-async fn read<T: DeserializeOwned>(answer: &mut ClientResponse) -> Result<T, OperatorError> {
-    let body = answer.body().limit(MAX_ANSWER_BYTES).await;
+async fn read<T: DeserializeOwned>(response: &mut ClientResponse) -> Result<T, OperatorError> {
+    let body = response.body().limit(MAX_RESPONSE_BYTES).await;
     let body = body.map_err(|error| OperatorError::Unknown(error.to_string()))?;
     serde_json::from_slice(&body).map_err(|error| OperatorError::Unknown(error.to_string()))
 }
 
-async fn failure(answer: &mut ClientResponse) -> OperatorError {
-    let status = answer.status();
-    let report: Option<FailureReport> = reported_failure(answer.headers());
-    let body = answer.body().limit(MAX_ANSWER_BYTES).await.unwrap_or_default();
+async fn failure(response: &mut ClientResponse) -> OperatorError {
+    let status = response.status();
+    let report: Option<FailureReport> = reported_failure(response.headers());
+    let body = response.body().limit(MAX_RESPONSE_BYTES).await.unwrap_or_default();
     let problem: Option<ProblemDetail> = serde_json::from_slice(&body).ok();
     let detail = problem.map_or_else(|| status.to_string(), |problem| problem.detail);
     match (status, report) {
