--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,4 +1,4 @@
-//! The verbs, and what they share: exit codes, logs, the operator's client.
+//! The subcommands and what they share: exit codes and the operators' client.
 
 mod check_config;
 mod fleet;
@@ -21,25 +21,27 @@
 
 /// Exit codes. Scripts may rely on them.
 pub mod exit {
-    /// Done.
+    /// Success.
     pub const DONE: u8 = 0;
-    /// Failed for a reason of this machine: a file, an address, a bad argument.
+    /// Failed for a local reason: a file, an address, an invalid argument.
     pub const FAILED: u8 = 1;
     /// The command line could not be parsed (set by the argument parser).
     pub const USAGE: u8 = 2;
-    /// Refused for good: a rule, a missing thing, a wrong token.
+    /// Rejected, and a retry does not help: a rule is violated, the item does not exist, or the token
+    /// is wrong.
     pub const REJECTED: u8 = 3;
-    /// Someone else changed the thing first.
+    /// The item was changed meanwhile.
     pub const CONFLICT: u8 = 4;
-    /// Nobody knows whether it was done.
+    /// It is unknown whether the change was made.
     pub const UNKNOWN: u8 = 5;
-    /// Not done, because no quorum could be reached; may be tried again.
+    /// Not executed, for example because there is no quorum; may be retried.
     pub const UNAVAILABLE: u8 = 6;
-    /// The drill found something that must not happen.
+    /// The drill found requests with a wrong, truncated or missing response, that were executed twice,
+    /// or that got a false verdict.
     pub const DRILL_FAILED: u8 = 7;
 }
 
-/// Brings model weights to many instances, whole, and gives every live request one answer.
+/// Distributes complete model weights to many instances and gives every live request one response.
 #[derive(Debug, Parser)]
 #[command(name = "egretseam", version, about)]
 pub struct EgretseamCommand {
@@ -64,7 +66,7 @@
 }
 
 impl EgretseamCommand {
-    /// Carries the command out; errors go to standard error, one line each.
+    /// Executes the command and prints an error to standard error, on one line.
     pub fn execute(self) -> ExitCode {
         let result = match self.verb {
             Verb::Serve(command) => command.execute(),
@@ -103,16 +105,16 @@
     }
 }
 
-/// Where and as whom an operator works.
+/// Address, token and name with which an operator connects.
 #[derive(Args, Clone, Debug)]
 struct OperatorArgs {
-    /// `host:port` of any process's operators' listener.
+    /// `host:port` of the operators' listener of any process.
     #[arg(long, env = "EGRETSEAM_OPERATOR", global = true, default_value = "127.0.0.1:7100")]
     operator: String,
     /// File with the operator token.
     #[arg(long, env = "EGRETSEAM_TOKEN_FILE", global = true, default_value = "operator.token")]
     token_file: PathBuf,
-    /// Name that stands in the history of changes.
+    /// Name to record in the history of changes.
     #[arg(long, env = "USER", global = true, default_value = "operator")]
     actor: String,
     /// Print JSON instead of tables.
@@ -126,7 +128,7 @@
         Ok(OperatorClient::new(&self.operator, token, &self.actor))
     }
 
-    /// Runs an operator's task on a runtime of its own.
+    /// Runs `task` with a client on a new runtime.
     fn run<F, Fut>(&self, task: F) -> anyhow::Result<()>
     where
         F: FnOnce(OperatorClient) -> Fut,
--- a/src/commands/check_config.rs
+++ b/src/commands/check_config.rs
@@ -1,11 +1,11 @@
-//! `egretseam check-config`: every mistake in a settings file, with its path.
+//! `egretseam check-config`: prints every invalid field of a settings file, with its JSON path.
 
 use anyhow::{Context, bail};
 use clap::Args;
 use egretseam_config::DaemonSettings;
 use std::path::PathBuf;
 
-/// Check a settings file without starting anything.
+/// Check a settings file without starting a process.
 #[derive(Args, Debug)]
 pub(super) struct CheckConfigCommand {
     /// Settings file.
--- a/src/commands/init.rs
+++ b/src/commands/init.rs
@@ -1,4 +1,4 @@
-//! `egretseam init`: gives a control member's data folder its identity.
+//! `egretseam init`: writes a member identity into the data folder of a control member.
 
 use anyhow::{Context, bail};
 use clap::Args;
@@ -8,15 +8,15 @@
 
 /// Initialise the data folder of a control member.
 ///
-/// Exactly one member is founded, once; all others join and are then added by `members add`. A
-/// member that lost its disk joins anew: it must not come back as its former self, whose
-/// promises it no longer knows.
+/// Use `--founding` for exactly one member, once; all others use `--joining` and are then added with
+/// `members add`. A member that lost its disk joins under a new identity: it must not vote under its
+/// previous one, as it no longer knows the votes it gave.
 #[derive(Args, Debug)]
 pub(super) struct InitCommand {
-    /// Settings with a control section.
+    /// Settings file with a control section.
     #[arg(long)]
     config: PathBuf,
-    /// Found a new group with this member as its only one.
+    /// Bootstrap a new group with this member as the only one.
     #[arg(long, conflicts_with = "joining", required_unless_present = "joining")]
     founding: bool,
     /// Prepare to join an existing group.
@@ -37,10 +37,10 @@
             let group = GroupId(rand::random());
             let name = settings.instance.as_str();
             LogStore::bootstrap(folder, id, group, name, &control.peer_address)?;
-            println!("founded a group with member {id}");
+            println!("bootstrapped a group with member {id}");
         } else {
             LogStore::init_joining(folder, id)?;
-            println!("member {id} may join; add it with:");
+            println!("member {id} is ready to join; add it with:");
             let (name, address) = (&settings.instance, &control.peer_address);
             println!("  egretseam members add --id {id} --name {name} --address {address}");
         }
--- a/src/commands/local.rs
+++ b/src/commands/local.rs
@@ -1,13 +1,13 @@
-//! `egretseam local`: the whole system in one process, as a demonstration and a check.
+//! `egretseam local`: runs the whole system in one process, as a demonstration and a check.
 
-use super::{output::print_json, serve::start_log};
+use super::{output::print_json, serve::init_log};
 use clap::Args;
 use egretseam_config::{LogFormat, LogSettings};
 use egretseam_local::{DrillOptions, DrillReport, run_drill};
 use thiserror::Error;
 
-/// Run the whole system on loopback: bring a model to all replicas, change its version under load,
-/// stop a target gracefully, and report.
+/// Run the whole system on loopback: distribute a model to all replicas, change its version under
+/// load, stop a target gracefully, and print a report.
 #[derive(Args, Debug)]
 pub(super) struct LocalCommand {
     /// Instances that serve the model.
@@ -24,9 +24,12 @@
     json: bool,
 }
 
-/// The drill found something that must not happen.
+/// The drill found requests with outcomes that must not occur.
 #[derive(Debug, Error)]
-#[error("{wrong} wrong, {lost} lost, {doubled} doubled, {cut_off} cut off; all must be 0")]
+#[error(
+    "requests: {wrong} with a wrong response, {lost} without a response, {doubled} executed twice or \
+     with a false verdict, {cut_off} with a truncated response; expected 0 of each"
+)]
 pub(super) struct DrillFailure {
     wrong: u64,
     lost: u64,
@@ -42,7 +45,7 @@
             ..DrillOptions::default()
         };
         if let Some(filter) = &self.log {
-            start_log(&LogSettings { format: LogFormat::Human, filter: filter.clone() })?;
+            init_log(&LogSettings { format: LogFormat::Human, filter: filter.clone() })?;
         }
         let report = run_drill(&options, &|step| eprintln!("{step} ..."))?;
         if self.json {
@@ -60,18 +63,18 @@
 
 fn print_report(report: &DrillReport) {
     println!("replicas serving             {}", report.replicas);
-    println!("time to all of them          {:.2} s", report.time_to_n_seconds);
-    println!("  least possible             {:.2} s", report.lower_bound_seconds);
+    println!("time until all serve         {:.2} s", report.time_to_n_seconds);
+    println!("  lower bound                {:.2} s", report.lower_bound_seconds);
     println!("copies from the origin       {:.2}", report.origin_copies);
     println!("change of version under load {:.2} s", report.change_seconds);
     println!("  copies from the origin     {:.2}", report.change_origin_copies);
     println!("requests                     {}", report.requests);
-    println!("  answered whole and right   {}", report.answered);
-    println!("  refused as not run         {}", report.not_run);
-    println!("  may have run               {}", report.may_have_run);
-    println!("  sent to a further address  {}", report.retried);
-    println!("  wrong                      {}", report.wrong);
-    println!("  lost                       {}", report.lost);
-    println!("  doubled                    {}", report.doubled);
-    println!("  cut off                    {}", report.cut_off);
+    println!("  complete, correct response {}", report.answered);
+    println!("  rejected, not executed     {}", report.not_run);
+    println!("  may have been executed     {}", report.may_have_run);
+    println!("  retried at another address {}", report.retried);
+    println!("  wrong response             {}", report.wrong);
+    println!("  no response                {}", report.lost);
+    println!("  run twice or false verdict {}", report.doubled);
+    println!("  truncated response         {}", report.cut_off);
 }
--- a/src/commands/manifest.rs
+++ b/src/commands/manifest.rs
@@ -1,4 +1,4 @@
-//! `egretseam manifest`: computes what an origin publishes beside weights.
+//! `egretseam manifest`: computes the manifest that an origin publishes with weights.
 
 use super::output::print_json;
 use anyhow::Context;
@@ -13,10 +13,10 @@
 pub(super) struct ManifestCommand {
     /// Weights file.
     file: PathBuf,
-    /// Model or adapter.
+    /// Name of the model or adapter.
     #[arg(long)]
     model: ModelName,
-    /// Version.
+    /// Version of the weights.
     #[arg(long)]
     version: VersionName,
     /// Size of a chunk in bytes.
@@ -52,7 +52,7 @@
     }
 }
 
-/// Fills `buffer` as far as the file goes.
+/// Reads until `buffer` is full or the file ends, and returns the number of bytes read.
 fn read_full(file: &mut File, buffer: &mut [u8]) -> std::io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/src/commands/members.rs
+++ b/src/commands/members.rs
@@ -1,4 +1,4 @@
-//! `egretseam members`: the control group, and how a lost member is replaced.
+//! `egretseam members`: lists and changes the members of the control group.
 
 use super::{
     OperatorArgs,
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 /// How long a new member may take to catch up.
-const CATCH_UP_LIMIT: Duration = Duration::from_secs(300);
-/// Pause between tries.
-const TRY_PAUSE: Duration = Duration::from_millis(500);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(300);
+/// Pause between attempts to promote a learner.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Look at and change the control group.
+/// List or change the members of the control group.
 #[derive(Args, Debug)]
 pub(super) struct MembersCommand {
     #[command(flatten)]
@@ -28,9 +28,9 @@
 enum MembersVerb {
     /// List members.
     List,
-    /// Add a member that `init --joining` prepared, and let it vote once it has caught up.
+    /// Add a member prepared by `init --joining`, and promote it to a voter once it has caught up.
     Add(NewMember),
-    /// Replace a lost member by one that `init --joining` prepared.
+    /// Replace a lost member with one prepared by `init --joining`.
     Replace {
         /// Id of the lost member.
         #[arg(long, value_parser = parse_id)]
@@ -38,9 +38,9 @@
         #[command(flatten)]
         member: NewMember,
     },
-    /// Remove a member for good.
+    /// Remove a member permanently.
     Remove {
-        /// Its id.
+        /// Id of the member.
         #[arg(long, value_parser = parse_id)]
         id: MemberId,
     },
@@ -49,10 +49,10 @@
 /// A member to add.
 #[derive(Args, Debug)]
 struct NewMember {
-    /// Its id, as `init --joining` printed it.
+    /// Id of the new member, as printed by `init --joining`.
     #[arg(long, value_parser = parse_id)]
     id: MemberId,
-    /// Its instance's name.
+    /// Name of its instance.
     #[arg(long)]
     name: String,
     /// `host:port` of its peer listener.
@@ -88,13 +88,15 @@
     }
 }
 
-/// The order matters. The new member catches up without a vote; only then does the lost one leave,
-/// and right after it the new one votes. Promoted first, it would make a group of four with one
-/// dead, in which a second loss stops everything. Each step may be repeated, so after any failure
-/// the same command goes on where it stopped.
+/// Replaces the lost member `lost` with `new`.
+///
+/// The order of the steps matters: the new member is added as a learner, then the lost one is
+/// removed, and right after that the new one is promoted to a voter. If it were promoted first, the
+/// group would have four voters, one of them lost, and would lose its quorum with the next loss.
+/// Each step is idempotent, so after a failure the same command continues where it stopped.
 async fn replace(client: &OperatorClient, lost: MemberId, new: &NewMember) -> anyhow::Result<()> {
     add_learner(client, new).await?;
-    wait_for_learner(client, new.id).await?;
+    pause_for_learner(client, new.id).await?;
     let members = client.members().await?.members;
     if members.iter().any(|member| member.id == lost) {
         client.change_members(&MembershipChange::Remove(lost)).await?;
@@ -116,20 +118,20 @@
     Ok(client.change_members(&MembershipChange::AddLearner(record)).await?)
 }
 
-/// Waits until the learner holds the membership that names it, which it learns from the log.
-async fn wait_for_learner(client: &OperatorClient, id: MemberId) -> anyhow::Result<()> {
+/// Gives the learner time to be reached by the leader, unless it is a voter already.
+async fn pause_for_learner(client: &OperatorClient, id: MemberId) -> anyhow::Result<()> {
     let members = client.members().await?.members;
     if members.iter().any(|member| member.id == id && member.voter) {
         return Ok(());
     }
-    // The leader itself checks how far the learner is before it promotes it; a refusal there
-    // changes nothing. Here a moment suffices for a running learner to be reached at all.
-    tokio::time::sleep(TRY_PAUSE * 2).await;
+    // The leader checks whether the learner has caught up before it promotes it, and a rejection
+    // changes nothing. This pause only lets the leader reach a running learner at all.
+    tokio::time::sleep(RETRY_PAUSE * 2).await;
     Ok(())
 }
 
 async fn promote(client: &OperatorClient, id: MemberId) -> anyhow::Result<()> {
-    let deadline = tokio::time::Instant::now() + CATCH_UP_LIMIT;
+    let deadline = tokio::time::Instant::now() + CATCH_UP_TIMEOUT;
     loop {
         let members = client.members().await?.members;
         if members.iter().any(|member| member.id == id && member.voter) {
@@ -137,13 +139,13 @@
         }
         match client.change_members(&MembershipChange::Promote(id)).await {
             Ok(()) => return Ok(()),
-            Err(OperatorError::Rejected(why)) if tokio::time::Instant::now() < deadline => {
-                eprintln!("member {id} cannot vote yet: {why}");
+            Err(OperatorError::Rejected(reason)) if tokio::time::Instant::now() < deadline => {
+                eprintln!("member {id} is not promoted yet: {reason}");
             }
-            Err(OperatorError::Rejected(why)) => bail!("member {id} did not catch up: {why}"),
+            Err(OperatorError::Rejected(reason)) => bail!("member {id} did not catch up: {reason}"),
             Err(error) => return Err(error.into()),
         }
-        tokio::time::sleep(TRY_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -156,8 +158,8 @@
         .members
         .iter()
         .map(|member| {
-            let leads = reply.leader.as_ref() == Some(&member.name);
-            let role = match (leads, member.voter) {
+            let is_leader = reply.leader.as_ref() == Some(&member.name);
+            let role = match (is_leader, member.voter) {
                 (true, _) => "leader",
                 (false, true) => "voter",
                 (false, false) => "learner",
--- a/src/commands/organisation.rs
+++ b/src/commands/organisation.rs
@@ -1,9 +1,9 @@
-//! `egretseam organisation`: who may call, with which share.
+//! `egretseam organisation`: the organisations that may send requests, their keys and shares.
 
 use super::{
     OperatorArgs,
     output::{print_json, print_table},
-    profile::accept,
+    profile::print_revision,
 };
 use anyhow::Context;
 use clap::{Args, Subcommand};
@@ -12,7 +12,7 @@
 use egretseam_proto::{ChunkDigest, OrganisationName, Revision};
 use std::path::PathBuf;
 
-/// Set organisations, their keys and shares.
+/// Set, remove or list organisations.
 #[derive(Args, Debug)]
 pub(super) struct OrganisationCommand {
     #[command(flatten)]
@@ -23,14 +23,14 @@
 
 #[derive(Debug, Subcommand)]
 enum OrganisationVerb {
-    /// Set an organisation. Only digests of its keys are sent and kept.
+    /// Set an organisation. Only the digests of its keys are sent and stored.
     Set {
         /// Name.
         name: OrganisationName,
-        /// File with one API key a line.
+        /// File with one API key per line.
         #[arg(long)]
         keys_file: PathBuf,
-        /// Share relative to other organisations.
+        /// Weight of its share relative to other organisations.
         #[arg(long, default_value_t = 1)]
         weight: u32,
     },
@@ -55,19 +55,28 @@
                 let keys = text.lines().map(str::trim).filter(|line| !line.is_empty());
                 let key_digests = keys.map(|key| ChunkDigest::of(key.as_bytes())).collect();
                 let spec = OrganisationSpec { weight, key_digests };
-                let base = base_of(&client, &name).await?;
-                accept(client.edit(base, ConfigEdit::SetOrganisation { name, spec }).await?, json)
+                let base = current_revision(&client, &name).await?;
+                print_revision(
+                    client.edit(base, ConfigEdit::SetOrganisation { name, spec }).await?,
+                    json,
+                )
             }
             OrganisationVerb::Remove { name } => {
-                let base = base_of(&client, &name).await?;
-                accept(client.edit(base, ConfigEdit::RemoveOrganisation { name }).await?, json)
+                let base = current_revision(&client, &name).await?;
+                print_revision(
+                    client.edit(base, ConfigEdit::RemoveOrganisation { name }).await?,
+                    json,
+                )
             }
             OrganisationVerb::List => list(&client, json).await,
         })
     }
 }
 
-async fn base_of(client: &OperatorClient, name: &OrganisationName) -> anyhow::Result<Revision> {
+async fn current_revision(
+    client: &OperatorClient,
+    name: &OrganisationName,
+) -> anyhow::Result<Revision> {
     let view = client.config().await?;
     Ok(view.organisations.get(name).map_or(Revision(0), |record| record.revision))
 }
--- a/src/commands/output.rs
+++ b/src/commands/output.rs
@@ -8,15 +8,15 @@
     Ok(())
 }
 
-/// Prints rows under a head, columns as wide as their widest cell.
-pub(super) fn print_table<const N: usize>(head: [&str; N], rows: &[[String; N]]) {
-    let mut widths = head.map(str::len);
+/// Prints rows under a header, with columns as wide as their widest cell.
+pub(super) fn print_table<const N: usize>(header: [&str; N], rows: &[[String; N]]) {
+    let mut widths = header.map(str::len);
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
         }
     }
-    print_row(&head.map(str::to_owned), &widths);
+    print_row(&header.map(str::to_owned), &widths);
     for row in rows {
         print_row(row, &widths);
     }
--- a/src/commands/profile.rs
+++ b/src/commands/profile.rs
@@ -1,4 +1,4 @@
-//! `egretseam profile`: what groups of targets should hold.
+//! `egretseam profile`: the weights and limits of groups of targets.
 
 use super::{
     OperatorArgs,
@@ -14,10 +14,10 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use std::time::Duration;
 
-/// How often `watch` asks.
+/// Interval at which `watch` polls.
 const WATCH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Define, change, retire and look at profiles.
+/// Define, change, retire and show profiles.
 #[derive(Args, Debug)]
 pub(super) struct ProfileCommand {
     #[command(flatten)]
@@ -28,7 +28,7 @@
 
 #[derive(Debug, Subcommand)]
 enum ProfileVerb {
-    /// Define a profile that does not exist.
+    /// Define a new profile.
     Define {
         /// Name.
         name: ProfileName,
@@ -41,20 +41,20 @@
         name: ProfileName,
         #[command(flatten)]
         spec: SpecArgs,
-        /// Revision that the change is based on; the present one if not given.
+        /// Revision that the change is based on; the current one by default.
         #[arg(long)]
         base: Option<u64>,
     },
-    /// Let a halted rollout go on.
+    /// Resume a halted rollout.
     Resume {
         /// Name.
         name: ProfileName,
     },
-    /// Retire a profile that no service runs under.
+    /// Retire a profile that no service is bound to.
     Retire {
         /// Name.
         name: ProfileName,
-        /// Revision that the change is based on; the present one if not given.
+        /// Revision that the change is based on; the current one by default.
         #[arg(long)]
         base: Option<u64>,
     },
@@ -65,7 +65,7 @@
         /// Name.
         name: ProfileName,
     },
-    /// Show a profile's accepted changes.
+    /// Show the committed changes of a profile.
     History {
         /// Name.
         name: ProfileName,
@@ -77,34 +77,34 @@
     },
 }
 
-/// A specification on the command line.
+/// Specification of a profile.
 #[derive(Args, Debug)]
 struct SpecArgs {
     /// Group of targets.
     #[arg(long)]
     group: GroupName,
-    /// Model; none for a plain service.
+    /// Model; omit for a plain service.
     #[arg(long, requires = "version", requires = "manifest")]
     model: Option<ModelName>,
-    /// Version.
+    /// Version of the model.
     #[arg(long, id = "version")]
     model_version: Option<VersionName>,
-    /// Identity that `egretseam manifest` printed.
+    /// Id of the manifest, as printed by `egretseam manifest`.
     #[arg(long, id = "manifest", value_parser = parse_manifest)]
     manifest_id: Option<ManifestId>,
-    /// Adapter as MODEL:VERSION:MANIFEST; may be given several times.
+    /// Adapter as MODEL:VERSION:MANIFEST; may be repeated.
     #[arg(long, value_parser = parse_adapter)]
     adapter: Vec<WeightsSpec>,
-    /// Most targets out of service at once for a switch.
+    /// Most targets that may be out of service at a time to switch versions.
     #[arg(long, default_value_t = 1)]
     max_unavailable: u32,
-    /// Copies that may be drawn from the origin, 1 (frugal) to 4 (fast).
+    /// Copies that may be fetched from the origin: 1 (least traffic) to 4 (fastest).
     #[arg(long, default_value_t = 1)]
     origin_copies: u32,
     /// Most requests in progress at one target.
     #[arg(long, default_value_t = 32)]
     max_in_flight: u32,
-    /// Go on routing by an unconfirmed configuration while control is out of reach.
+    /// Keep routing by an unconfirmed configuration while no control member is reachable.
     #[arg(long)]
     serve_without_lease: bool,
 }
@@ -152,20 +152,20 @@
         operator.run(async move |client| match verb {
             ProfileVerb::Define { name, spec } => {
                 let edit = ConfigEdit::DefineProfile { name, spec: spec.into_spec() };
-                accept(client.edit(Revision(0), edit).await?, json)
+                print_revision(client.edit(Revision(0), edit).await?, json)
             }
             ProfileVerb::Change { name, spec, base } => {
-                let base = base_of(&client, &name, base).await?;
+                let base = base_revision(&client, &name, base).await?;
                 let edit = ConfigEdit::ChangeProfile { name, spec: spec.into_spec() };
-                accept(client.edit(base, edit).await?, json)
+                print_revision(client.edit(base, edit).await?, json)
             }
             ProfileVerb::Resume { name } => {
-                let base = base_of(&client, &name, None).await?;
-                accept(client.edit(base, ConfigEdit::ResumeProfile { name }).await?, json)
+                let base = base_revision(&client, &name, None).await?;
+                print_revision(client.edit(base, ConfigEdit::ResumeProfile { name }).await?, json)
             }
             ProfileVerb::Retire { name, base } => {
-                let base = base_of(&client, &name, base).await?;
-                accept(client.edit(base, ConfigEdit::RetireProfile { name }).await?, json)
+                let base = base_revision(&client, &name, base).await?;
+                print_revision(client.edit(base, ConfigEdit::RetireProfile { name }).await?, json)
             }
             ProfileVerb::List => list(&client.config().await?, json),
             ProfileVerb::Show { name } => print_json(&find(&client, &name).await?),
@@ -175,8 +175,8 @@
     }
 }
 
-/// Prints the revision of an accepted change.
-pub(super) fn accept(revision: Revision, json: bool) -> anyhow::Result<()> {
+/// Prints the revision of a committed change.
+pub(super) fn print_revision(revision: Revision, json: bool) -> anyhow::Result<()> {
     if json {
         return print_json(&serde_json::json!({ "revision": revision }));
     }
@@ -190,7 +190,7 @@
     record.ok_or_else(|| OperatorError::Rejected(format!("no profile {name}")).into())
 }
 
-async fn base_of(
+async fn base_revision(
     client: &OperatorClient,
     name: &ProfileName,
     given: Option<u64>,
@@ -229,13 +229,16 @@
             bar.abandon();
             bail!("the rollout is halted: {reason}");
         }
-        let wanted = record.spec.weights.as_ref().map(|weights| weights.manifest);
-        let targets = client.targets().await.context("ask an entry instance for its targets")?;
+        let desired = record.spec.weights.as_ref().map(|weights| weights.manifest);
+        let targets = client
+            .targets()
+            .await
+            .context("list the targets of the entry at the operator address")?;
         let group: Vec<&TargetItem> =
             targets.iter().filter(|item| item.report.group == record.spec.group).collect();
         let serves = |item: &&&TargetItem| {
-            let held = item.report.serving.as_ref().map(|serving| serving.manifest);
-            item.report.state == TargetState::Serving && held == wanted
+            let manifest = item.report.serving.as_ref().map(|serving| serving.manifest);
+            item.report.state == TargetState::Serving && manifest == desired
         };
         let serving = group.iter().filter(serves).count();
         let sum = |part: fn(&TargetItem) -> u32| -> u64 {
@@ -243,7 +246,7 @@
         };
         bar.set_length(sum(|item| item.report.chunks_total));
         bar.set_position(sum(|item| item.report.chunks_have));
-        bar.set_message(format!("{serving}/{} targets serve it", group.len()));
+        bar.set_message(format!("{serving}/{} targets serving", group.len()));
         if serving == group.len() && !group.is_empty() {
             bar.finish();
             println!("{serving} targets serve {name} at revision {}", record.revision);
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `egretseam serve`: one process with the roles of its settings.
+//! `egretseam serve`: runs one process with the roles that its settings configure.
 
 use anyhow::Context;
 use clap::Args;
@@ -8,10 +8,10 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tracing_subscriber::EnvFilter;
 
-/// Run the roles whose sections the settings hold, until SIGTERM or SIGINT.
+/// Run the roles that have a section in the settings, until SIGTERM or SIGINT.
 #[derive(Args, Debug)]
 pub(super) struct ServeCommand {
-    /// Settings, see `examples/*.json`.
+    /// Settings file, see `examples/*.json`.
     #[arg(long)]
     config: PathBuf,
 }
@@ -22,7 +22,7 @@
         let text =
             std::fs::read_to_string(&self.config).with_context(|| format!("read {shown}"))?;
         let settings = DaemonSettings::parse(&text)?;
-        start_log(&settings.log)?;
+        init_log(&settings.log)?;
         let tokens = DaemonTokens::read(&settings)?;
         let listeners = DaemonListeners::bind(&settings)?;
         actix_rt::System::new().block_on(run(settings, tokens, listeners))
@@ -48,8 +48,8 @@
     Ok(())
 }
 
-/// Sends log lines to standard error.
-pub(super) fn start_log(settings: &LogSettings) -> anyhow::Result<()> {
+/// Initialises logging to standard error.
+pub(super) fn init_log(settings: &LogSettings) -> anyhow::Result<()> {
     let filter = EnvFilter::try_new(&settings.filter)
         .with_context(|| format!("$.log.filter: {:?}", settings.filter))?;
     let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
--- a/src/commands/service.rs
+++ b/src/commands/service.rs
@@ -1,16 +1,16 @@
-//! `egretseam service`: which profile each service runs under.
+//! `egretseam service`: binds services to profiles.
 
 use super::{
     OperatorArgs,
     output::{print_json, print_table},
-    profile::accept,
+    profile::print_revision,
 };
 use clap::{Args, Subcommand};
 use egretseam_catalog::ConfigEdit;
 use egretseam_operator::OperatorClient;
 use egretseam_proto::{ProfileName, Revision, ServiceName};
 
-/// Bind services to profiles.
+/// Bind, unbind or list services.
 #[derive(Args, Debug)]
 pub(super) struct ServiceCommand {
     #[command(flatten)]
@@ -21,13 +21,13 @@
 
 #[derive(Debug, Subcommand)]
 enum ServiceVerb {
-    /// Set the profile that a service runs under.
+    /// Bind a service to a profile.
     Bind {
         /// Service.
         name: ServiceName,
         /// Profile.
         profile: ProfileName,
-        /// Revision that the change is based on; the present one if not given.
+        /// Revision that the change is based on; the current one by default.
         #[arg(long)]
         base: Option<u64>,
     },
@@ -46,20 +46,20 @@
         let json = operator.json;
         operator.run(async move |client| match verb {
             ServiceVerb::Bind { name, profile, base } => {
-                let base = base_of(&client, &name, base).await?;
+                let base = base_revision(&client, &name, base).await?;
                 let edit = ConfigEdit::BindService { name, profile };
-                accept(client.edit(base, edit).await?, json)
+                print_revision(client.edit(base, edit).await?, json)
             }
             ServiceVerb::Unbind { name } => {
-                let base = base_of(&client, &name, None).await?;
-                accept(client.edit(base, ConfigEdit::UnbindService { name }).await?, json)
+                let base = base_revision(&client, &name, None).await?;
+                print_revision(client.edit(base, ConfigEdit::UnbindService { name }).await?, json)
             }
             ServiceVerb::List => list(&client, json).await,
         })
     }
 }
 
-async fn base_of(
+async fn base_revision(
     client: &OperatorClient,
     name: &ServiceName,
     given: Option<u64>,
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `egretseam status`: the whole at a glance.
+//! `egretseam status`: a summary of the control group, entries and targets.
 
 use super::{
     OperatorArgs,
@@ -7,7 +7,7 @@
 use clap::Args;
 use egretseam_proto::TargetState;
 
-/// Show the control group, who holds which revision, and how many targets serve.
+/// Show the control group, the revision that each entry has, and the number of serving targets.
 #[derive(Args, Debug)]
 pub(super) struct StatusCommand {
     #[command(flatten)]
@@ -20,7 +20,7 @@
         self.operator.run(async move |client| {
             let members = client.members().await?;
             let view = client.config().await?;
-            // Only an entry knows targets; a process without that role still shows the rest.
+            // Only a process with an entry lists targets; for others the rest is shown.
             let targets = client.targets().await.ok();
             if json {
                 return print_json(&serde_json::json!({
--- a/src/commands/targets.rs
+++ b/src/commands/targets.rs
@@ -1,4 +1,4 @@
-//! `egretseam targets`: what one entry knows of the targets that report to it.
+//! `egretseam targets`: lists the targets that report to one entry.
 
 use super::{
     OperatorArgs,
@@ -6,7 +6,8 @@
 };
 use clap::Args;
 
-/// List targets as one entry sees them. There is no list kept by hand: these announced themselves.
+/// List the targets that one entry knows. They are not configured: the entry learns them from their
+/// reports.
 #[derive(Args, Debug)]
 pub(super) struct TargetsCommand {
     #[command(flatten)]
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -1,4 +1,5 @@
-//! The program as operators run it: processes of their own, killed, frozen, stopped and repaired.
+//! Tests of the `egretseam` program in separate processes, which are killed, frozen, stopped and
+//! replaced.
 
 use crate::support::{KEY, PATIENCE, block_on};
 use egretseam_fakes::{FakePlain, PlainLedger};
@@ -15,8 +16,8 @@
     time::{Duration, Instant},
 };
 
-/// Ports below the range from which the system takes those of outgoing connections, so that none
-/// is lost between choosing it and the process binding it.
+/// Range of listener ports. It lies below the system's ephemeral ports, so that no outgoing
+/// connection takes a port between its choice and the time when the process binds it.
 const FIRST_PORT: u16 = 10_000;
 const LAST_PORT: u16 = 30_000;
 
@@ -29,11 +30,11 @@
     _target: SystemThread,
 }
 
-/// Ports given out so far: tests run side by side and must not choose the same.
-static CHOSEN: Mutex<Vec<u16>> = Mutex::new(Vec::new());
+/// Ports chosen so far: tests run in parallel and must not choose the same.
+static CHOSEN_PORTS: Mutex<Vec<u16>> = Mutex::new(Vec::new());
 
 fn free_address() -> String {
-    let mut chosen = CHOSEN.lock().expect("no holder panics");
+    let mut chosen = CHOSEN_PORTS.lock().expect("no holder panics");
     loop {
         let port = FIRST_PORT + rand::random::<u16>() % (LAST_PORT - FIRST_PORT);
         if !chosen.contains(&port) && TcpListener::bind(("127.0.0.1", port)).is_ok() {
@@ -47,19 +48,20 @@
     Command::new(env!("CARGO_BIN_EXE_egretseam"))
 }
 
-fn settle<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
-        if let Some(found) = look() {
+fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let started_at = Instant::now();
+    while started_at.elapsed() < PATIENCE {
+        if let Some(found) = poll() {
             return found;
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    panic!("waited in vain for {what}");
+    panic!("timed out after {PATIENCE:?} waiting for {what}");
 }
 
 impl Deployment {
-    /// Three instances with control and entry, and one with an agent before a plain service.
+    /// Starts three instances with a control member and an entry, and one with an agent in front of a
+    /// plain service.
     fn start() -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         fs::write(folder.path().join("peer.token"), "peer-token-0123456789").expect("written");
@@ -115,11 +117,11 @@
             ledger,
             _target: target,
         };
-        deployment.found();
+        deployment.bootstrap();
         deployment
     }
 
-    fn found(&mut self) {
+    fn bootstrap(&mut self) {
         assert!(self.init(0, "--founding").status.success());
         self.serve(0);
         for number in 1..3 {
@@ -127,7 +129,7 @@
             assert!(joined.status.success());
             self.serve(number);
             let command = add_command(&joined, "add", None);
-            settle("a member to be added", || {
+            wait_for("a member to be added", || {
                 self.operate(0, &command).status.success().then_some(())
             });
         }
@@ -138,7 +140,7 @@
             "profile define plain --group plain".to_owned(),
             "service bind orders plain".to_owned(),
         ] {
-            settle("a change to be accepted", || {
+            wait_for("a change to be accepted", || {
                 self.operate(0, &command).status.success().then_some(())
             });
         }
@@ -161,7 +163,7 @@
         self.processes[number] = Some(child);
     }
 
-    /// Runs an operator's command against instance `number`.
+    /// Runs an operator's command at instance `number`.
     fn operate(&self, number: usize, command: &str) -> Output {
         let token = self.folder.path().join("op.token");
         let mut program = program();
@@ -183,8 +185,8 @@
         }
     }
 
-    fn leader(&self, ask: usize) -> Option<usize> {
-        let output = self.operate(ask, "members --json");
+    fn leader(&self, via: usize) -> Option<usize> {
+        let output = self.operate(via, "members --json");
         let reply: serde_json::Value = serde_json::from_slice(&output.stdout).ok()?;
         reply["leader"].as_str()?.strip_prefix("instance-")?.parse().ok()
     }
@@ -193,7 +195,7 @@
         let (seeds, ledger) = (vec![self.callers[number].clone()], self.ledger.clone());
         let id = id.to_owned();
         block_on(async move {
-            // Shorter than the default, for the address of a frozen instance is still on the list.
+            // Shorter than the default, because the address of a frozen instance is still listed.
             let caller = CallerClient::new(&seeds, KEY, Arc::new(CallerCounts::default()));
             let caller = caller.with_call_limit(Duration::from_secs(3));
             caller.book("orders", &id, &ledger).await
@@ -214,7 +216,7 @@
     fs::write(path, settings.to_string()).expect("written");
 }
 
-/// The command that `init --joining` prints, as `add` or `replace`.
+/// The `members add` command that `init --joining` prints, with `verb` in place of `add`.
 fn add_command(joined: &Output, verb: &str, lost: Option<&str>) -> String {
     let text = String::from_utf8_lossy(&joined.stdout).into_owned();
     let line = text.lines().last().expect("a command").trim();
@@ -223,59 +225,59 @@
     format!("members {verb} {lost}{rest}")
 }
 
-/// Whole instances are frozen, killed and lost, one after the other, while bookings go on. What an
-/// operator was told stays, nothing is booked twice, and a replaced member lets the next loss be
-/// survived.
+/// Freezes the leader's process, loses an instance with its disk and replaces it, then kills another,
+/// with bookings in between. Guards against lost changes that an operator saw committed, bookings that
+/// are executed twice, and a group that fails at the next loss after a member was replaced.
 #[test]
 fn processes_are_frozen_killed_lost_and_replaced() {
     let mut deployment = Deployment::start();
-    settle("a booking", || (deployment.book(0, "first") == CallOutcome::Answered).then_some(()));
+    wait_for("a booking", || (deployment.book(0, "first") == CallOutcome::Answered).then_some(()));
 
-    // The leader's process freezes: its connections stay open and say nothing.
-    let leader = settle("a leader", || deployment.leader(0));
+    // The leader's process freezes: its connections stay open but transfer no data.
+    let leader = wait_for("a leader", || deployment.leader(0));
     let other = (leader + 1) % 3;
     deployment.signal(leader, "-STOP");
-    settle("a change without the frozen leader", || {
+    wait_for("a change without the frozen leader", || {
         let change = "profile change plain --group plain --max-in-flight 9";
         deployment.operate(other, change).status.success().then_some(())
     });
-    settle("a booking without it", || {
+    wait_for("a booking without it", || {
         (deployment.book(other, "frozen") == CallOutcome::Answered).then_some(())
     });
     deployment.signal(leader, "-CONT");
-    settle("the thawed instance to hold the change", || {
+    wait_for("the resumed instance to have the change", || {
         let shown = deployment.operate(leader, "profile show plain");
         String::from_utf8_lossy(&shown.stdout).contains("\"max_in_flight\": 9").then_some(())
     });
 
     // An instance is lost with its disk and replaced under a new identity.
     let lost = (0..3).find(|number| Some(*number) != deployment.leader(other)).expect("a follower");
-    let keeper = (0..3).find(|number| *number != lost).expect("another");
-    let members = deployment.operate(keeper, "members --json");
+    let survivor = (0..3).find(|number| *number != lost).expect("another");
+    let members = deployment.operate(survivor, "members --json");
     let reply: serde_json::Value = serde_json::from_slice(&members.stdout).expect("JSON");
     let is_lost = |member: &&serde_json::Value| member["name"] == format!("instance-{lost}");
     let record = reply["members"].as_array().expect("a list").iter().find(is_lost);
     let id = format!("{:016x}", record.expect("a member")["id"].as_u64().expect("a number"));
     deployment.kill(lost);
     fs::remove_dir_all(deployment.folder.path().join(format!("data-{lost}"))).expect("removed");
-    let refused = program().arg("serve").arg("--config").arg(deployment.settings(lost)).output();
-    let refused = refused.expect("the program runs");
-    assert!(String::from_utf8_lossy(&refused.stderr).contains("init --joining"));
+    let failed = program().arg("serve").arg("--config").arg(deployment.settings(lost)).output();
+    let failed = failed.expect("the program runs");
+    assert!(String::from_utf8_lossy(&failed.stderr).contains("init --joining"));
     let joined = deployment.init(lost, "--joining");
     deployment.serve(lost);
     let replace = add_command(&joined, "replace", Some(&id));
-    settle("the replacement", || {
-        deployment.operate(keeper, &replace).status.success().then_some(())
+    wait_for("the replacement", || {
+        deployment.operate(survivor, &replace).status.success().then_some(())
     });
 
-    // Right after the repair a second instance is lost.
-    let second = (0..3).find(|number| *number != lost && *number != keeper).expect("the third");
+    // A second instance is lost right after the replacement.
+    let second = (0..3).find(|number| *number != lost && *number != survivor).expect("the third");
     deployment.kill(second);
-    settle("a change after the second loss", || {
+    wait_for("a change after the second loss", || {
         let change = "profile change plain --group plain --max-in-flight 11";
-        deployment.operate(keeper, change).status.success().then_some(())
+        deployment.operate(survivor, change).status.success().then_some(())
     });
-    settle("a booking after it", || {
+    wait_for("a booking after it", || {
         (deployment.book(lost, "after") == CallOutcome::Answered).then_some(())
     });
     for id in ["first", "frozen", "after"] {
@@ -283,12 +285,13 @@
     }
 }
 
-/// An instance is told to stop while callers book through it. It finishes what it has, leaves the
-/// list of addresses, and ends by itself with success.
+/// Sends SIGTERM to an instance while callers book through all entries. The instance leaves the list
+/// of addresses, finishes its requests in progress and exits with success. No request gets a wrong,
+/// missing or truncated response or a false verdict.
 #[test]
 fn a_terminated_instance_finishes_and_exits() {
     let mut deployment = Deployment::start();
-    settle("a booking", || (deployment.book(1, "first") == CallOutcome::Answered).then_some(()));
+    wait_for("a booking", || (deployment.book(1, "first") == CallOutcome::Answered).then_some(()));
     let stop = Arc::new(AtomicBool::new(false));
     let counts = Arc::new(CallerCounts::default());
     let load = {
@@ -305,9 +308,9 @@
             });
         })
     };
-    settle("load to begin", || (counts.answered.load(Ordering::Relaxed) > 3).then_some(()));
+    wait_for("load to begin", || (counts.answered.load(Ordering::Relaxed) > 3).then_some(()));
     deployment.signal(1, "-TERM");
-    let status = settle("the process to end", || {
+    let status = wait_for("the process to end", || {
         deployment.processes[1].as_mut().expect("it ran").try_wait().expect("its status")
     });
     assert!(status.success());
@@ -318,7 +321,7 @@
     assert_eq!(bad, [0; 4], "wrong, lost, cut off, false verdicts");
 }
 
-/// Scripts tell outcomes apart by exit codes.
+/// Scripts distinguish outcomes by exit codes.
 #[test]
 fn exit_codes_tell_outcomes_apart() {
     let deployment = Deployment::start();
@@ -329,16 +332,16 @@
     assert_eq!(code("profile retire plain"), Some(3));
     assert_eq!(code("profile frobnicate"), Some(2));
     assert_eq!(code("status --token-file /nowhere"), Some(2));
-    let mut wrong = program();
+    let mut wrong_token = program();
     fs::write(deployment.folder.path().join("bad.token"), "not-the-operator-token")
         .expect("written");
     let bad = deployment.folder.path().join("bad.token");
-    wrong.args(["status", "--operator", &deployment.operators[0], "--token-file"]).arg(bad);
-    assert_eq!(wrong.output().expect("the program runs").status.code(), Some(3));
+    wrong_token.args(["status", "--operator", &deployment.operators[0], "--token-file"]).arg(bad);
+    assert_eq!(wrong_token.output().expect("the program runs").status.code(), Some(3));
     let again = deployment.init(0, "--founding");
     assert_eq!(again.status.code(), Some(1));
-    let held = program().arg("serve").arg("--config").arg(deployment.settings(0)).output();
-    let held = held.expect("the program runs");
-    assert_eq!(held.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&held.stderr).contains("listen on"));
+    let in_use = program().arg("serve").arg("--config").arg(deployment.settings(0)).output();
+    let in_use = in_use.expect("the program runs");
+    assert_eq!(in_use.status.code(), Some(1));
+    assert!(String::from_utf8_lossy(&in_use.stderr).contains("listen on"));
 }
