--- a/src/commands/check_config.rs
+++ b/src/commands/check_config.rs
@@ -18,14 +18,14 @@
         let text = std::fs::read_to_string(&self.file).with_context(|| format!("read {shown}"))?;
         match DaemonSettings::parse(&text) {
             Ok(_) => {
-                println!("{shown}: good");
+                println!("{shown}: valid");
                 Ok(())
             }
             Err(error) => {
-                for mistake in &error.field_errors {
-                    println!("{mistake}");
+                for field_error in &error.field_errors {
+                    println!("{field_error}");
                 }
-                bail!("{shown}: {} mistake(s)", error.field_errors.len())
+                bail!("{shown}: {} invalid field(s)", error.field_errors.len())
             }
         }
     }
--- a/src/commands/organisation.rs
+++ b/src/commands/organisation.rs
@@ -25,7 +25,7 @@
 enum OrganisationVerb {
     /// Set an organisation. Only the digests of its keys are sent and stored.
     Set {
-        /// Name.
+        /// Name of the organisation.
         name: OrganisationName,
         /// File with one API key per line.
         #[arg(long)]
@@ -36,7 +36,7 @@
     },
     /// Remove an organisation.
     Remove {
-        /// Name.
+        /// Name of the organisation.
         name: OrganisationName,
     },
     /// List organisations.
--- a/src/commands/profile.rs
+++ b/src/commands/profile.rs
@@ -30,14 +30,14 @@
 enum ProfileVerb {
     /// Define a new profile.
     Define {
-        /// Name.
+        /// Name of the profile.
         name: ProfileName,
         #[command(flatten)]
         spec: SpecArgs,
     },
     /// Replace a profile's specification.
     Change {
-        /// Name.
+        /// Name of the profile.
         name: ProfileName,
         #[command(flatten)]
         spec: SpecArgs,
@@ -47,12 +47,12 @@
     },
     /// Resume a halted rollout.
     Resume {
-        /// Name.
+        /// Name of the profile.
         name: ProfileName,
     },
     /// Retire a profile that no service is bound to.
     Retire {
-        /// Name.
+        /// Name of the profile.
         name: ProfileName,
         /// Revision that the change is based on; the current one by default.
         #[arg(long)]
@@ -62,17 +62,17 @@
     List,
     /// Show one profile.
     Show {
-        /// Name.
+        /// Name of the profile.
         name: ProfileName,
     },
     /// Show the committed changes of a profile.
     History {
-        /// Name.
+        /// Name of the profile.
         name: ProfileName,
     },
     /// Follow a rollout until all targets of the group serve the profile's version.
     Watch {
-        /// Name.
+        /// Name of the profile.
         name: ProfileName,
     },
 }
