--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -5,7 +5,7 @@
 
 use awc::{Client, ClientResponse, http::StatusCode};
 use egretseam_catalog::{ConfigEdit, ConfigView, EditRejection, EditRequest, HistoryRecord};
-use egretseam_http::{ClientOptions, SecretToken, http_client, reported_failure};
+use egretseam_http::{ClientOptions, SecretToken, failure_from_headers, http_client};
 use egretseam_proto::{
     FailureReport, OperationId, ProfileName, RequestVerdict, Revision, TargetReport,
 };
@@ -120,12 +120,12 @@
         let mut response = self.post("/v1/edits", request).await?;
         match response.status() {
             StatusCode::OK => Ok(read::<AcceptedReply>(&mut response).await?.revision),
-            StatusCode::CONFLICT if reported_failure(response.headers()).is_none() => {
+            StatusCode::CONFLICT if failure_from_headers(response.headers()).is_none() => {
                 let current = read::<ConflictReply>(&mut response).await?.current;
                 Err(OperatorError::Conflict { current })
             }
             StatusCode::NOT_FOUND | StatusCode::UNPROCESSABLE_ENTITY
-                if reported_failure(response.headers()).is_none() =>
+                if failure_from_headers(response.headers()).is_none() =>
             {
                 Err(OperatorError::Rejected(read::<EditRejection>(&mut response).await?.message))
             }
@@ -195,7 +195,7 @@
         let request =
             self.client.post(url).bearer_auth(self.token.expose()).timeout(REQUEST_TIMEOUT);
         request.send_json(body).await.map_err(|error| {
-            let report = egretseam_http::send_failure(&error);
+            let report = egretseam_http::classify_send_error(&error);
             match report.verdict {
                 RequestVerdict::NotRun => OperatorError::NotExecuted(error.to_string()),
                 _ => OperatorError::Unknown(error.to_string()),
@@ -212,7 +212,7 @@
 
 async fn failure(response: &mut ClientResponse) -> OperatorError {
     let status = response.status();
-    let report: Option<FailureReport> = reported_failure(response.headers());
+    let report: Option<FailureReport> = failure_from_headers(response.headers());
     let body = response.body().limit(MAX_RESPONSE_BYTES).await.unwrap_or_default();
     let problem: Option<ProblemDetail> = serde_json::from_slice(&body).ok();
     let detail = problem.map_or_else(|| status.to_string(), |problem| problem.detail);
--- a/tests/all/fleet/placing.rs
+++ b/tests/all/fleet/placing.rs
@@ -38,7 +38,7 @@
             target,
             content_type: "",
             body: b"",
-            limit: Duration::from_secs(5),
+            timeout: Duration::from_secs(5),
             max_body: 65_536,
         };
         exchange(address, &call).await.expect("a response")
--- a/tests/all/keyed_requests.rs
+++ b/tests/all/keyed_requests.rs
@@ -1,7 +1,7 @@
 //! Requests with idempotency keys, over real sockets.
 
 use crate::support::{KEY, PATIENCE, TestCluster, block_on, options};
-use egretseam_http::{ClientOptions, http_client, reported_failure};
+use egretseam_http::{ClientOptions, failure_from_headers, http_client};
 use egretseam_local::{CallOutcome, ClusterOptions};
 use egretseam_proto::{IDEMPOTENCY_HEADER, RequestVerdict};
 use std::time::Duration;
@@ -86,7 +86,7 @@
         let request = request.bearer_auth(KEY).insert_header((IDEMPOTENCY_HEADER, "seat-5"));
         let response = request.send_json(&serde_json::json!({ "id": "another" })).await;
         let response = response.expect("a response");
-        let report = reported_failure(response.headers()).expect("a failure");
+        let report = failure_from_headers(response.headers()).expect("a failure");
         (response.status().as_u16(), report.verdict)
     });
     assert_eq!((status, verdict), (422, RequestVerdict::NotRun));
