--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -1,8 +1,8 @@
 //! Tests of the `egretseam` program in separate processes, which are killed, frozen, stopped and
 //! replaced.
 
-use crate::support::{KEY, PATIENCE, block_on};
-use egretseam_fakes::{FakePlain, PlainLedger};
+use crate::support::{API_KEY, WAIT_TIMEOUT, block_on};
+use egretseam_fakes::{BookingLedger, FakeBookingService};
 use egretseam_local::{CallOutcome, CallerClient, CallerCounts, SystemThread};
 use std::{
     fs,
@@ -26,7 +26,7 @@
     processes: Vec<Option<Child>>,
     operators: Vec<String>,
     callers: Vec<String>,
-    ledger: PlainLedger,
+    ledger: BookingLedger,
     _target: SystemThread,
 }
 
@@ -50,13 +50,13 @@
 
 fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let started_at = Instant::now();
-    while started_at.elapsed() < PATIENCE {
+    while started_at.elapsed() < WAIT_TIMEOUT {
         if let Some(found) = poll() {
             return found;
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    panic!("timed out after {PATIENCE:?} waiting for {what}");
+    panic!("timed out after {WAIT_TIMEOUT:?} waiting for {what}");
 }
 
 impl Deployment {
@@ -66,13 +66,13 @@
         let folder = tempfile::tempdir().expect("a folder");
         fs::write(folder.path().join("peer.token"), "peer-token-0123456789").expect("written");
         fs::write(folder.path().join("op.token"), "operator-token-0123456789").expect("written");
-        fs::write(folder.path().join("keys"), format!("{KEY}\n")).expect("written");
-        let ledger = PlainLedger::default();
+        fs::write(folder.path().join("keys"), format!("{API_KEY}\n")).expect("written");
+        let ledger = BookingLedger::default();
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let target_address = listener.local_addr().expect("an address").to_string();
         let service = ledger.clone();
         let target = SystemThread::spawn("plain", move || {
-            Ok(FakePlain::start(service, Duration::from_millis(20), listener)?)
+            Ok(FakeBookingService::start(service, Duration::from_millis(20), listener)?)
         });
         let target = target.expect("the service starts");
         let addresses: Vec<String> = (0..16).map(|_| free_address()).collect();
@@ -196,7 +196,7 @@
         let id = id.to_owned();
         block_on(async move {
             // Shorter than the default, because the address of a frozen instance is still listed.
-            let caller = CallerClient::new(&seeds, KEY, Arc::new(CallerCounts::default()));
+            let caller = CallerClient::new(&seeds, API_KEY, Arc::new(CallerCounts::default()));
             let caller = caller.with_call_limit(Duration::from_secs(3));
             caller.book("orders", &id, &ledger).await
         })
@@ -281,7 +281,7 @@
         (deployment.book(lost, "after") == CallOutcome::Answered).then_some(())
     });
     for id in ["first", "frozen", "after"] {
-        assert_eq!(deployment.ledger.runs(id), 1, "{id}");
+        assert_eq!(deployment.ledger.booking_count(id), 1, "{id}");
     }
 }
 
@@ -299,7 +299,7 @@
         let (stop, counts) = (stop.clone(), counts.clone());
         std::thread::spawn(move || {
             block_on(async move {
-                let caller = CallerClient::new(&seeds, KEY, counts);
+                let caller = CallerClient::new(&seeds, API_KEY, counts);
                 let mut number = 0;
                 while !stop.load(Ordering::Relaxed) {
                     number += 1;
