--- a/crates/testkit/src/batch_engine.rs
+++ b/crates/testkit/src/batch_engine.rs
@@ -1,113 +1,115 @@
-//! A model of an engine that works on its requests in passes.
+//! A simulated engine with continuous batching: it works in iterations, each over all running
+//! requests.
 
 use std::{collections::VecDeque, time::Duration};
 use tokio::time::Instant;
 
-/// How an engine works.
+/// Speed and capacity of a simulated engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineParams {
-    /// Requests that write at the same time.
+    /// Requests that run at the same time.
     pub slots: usize,
-    /// One pass, in which every request that writes makes one event.
-    pub step_time: Duration,
-    /// Reading one prompt, which lengthens the pass in which it is read.
+    /// Duration of an iteration without prefill; each decoding request generates one event in it.
+    pub iteration_time: Duration,
+    /// Prefill of one prompt; it lengthens the iteration in which the prompt is admitted.
     pub prefill_time: Duration,
-    /// Events of an answer.
+    /// Events of a response.
     pub response_events: u32,
 }
 
 impl Default for EngineParams {
-    /// Sixteen slots, passes of six steps of about 7 ms, and a mean prompt and answer.
+    /// Sixteen slots, iterations of six decode steps of about 7 ms each, and a prompt and a
+    /// response of mean length.
     fn default() -> Self {
         Self {
             slots: 16,
-            step_time: Duration::from_millis(43),
+            iteration_time: Duration::from_millis(43),
             prefill_time: Duration::from_millis(32),
             response_events: 20,
         }
     }
 }
 
-/// What became of a request in a pass.
+/// Progress of a request in an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// Its first event was made.
+    /// Its first event was generated.
     FirstEvent(u64),
-    /// Its last event was made.
+    /// Its last event was generated.
     LastEvent(u64),
 }
 
-struct WritingRequest {
+struct DecodingRequest {
     id: u64,
-    left: u32,
+    events_left: u32,
 }
 
-/// One engine.
+/// A simulated engine.
 pub struct BatchEngine {
-    model: EngineParams,
+    params: EngineParams,
     queue: VecDeque<u64>,
-    /// Read in the present pass.
-    reading: Vec<u64>,
-    writing: Vec<WritingRequest>,
-    pass_ends: Instant,
+    /// Requests whose prompts are prefilled in the current iteration.
+    prefilling: Vec<u64>,
+    decoding: Vec<DecodingRequest>,
+    iteration_end: Instant,
     idle: bool,
 }
 
 impl BatchEngine {
-    /// An engine with nothing to do.
-    pub fn new(model: EngineParams, now: Instant) -> Self {
+    /// An idle engine.
+    pub fn new(params: EngineParams, now: Instant) -> Self {
         Self {
-            model,
+            params,
             queue: VecDeque::new(),
-            reading: Vec::new(),
-            writing: Vec::new(),
-            pass_ends: now,
+            prefilling: Vec::new(),
+            decoding: Vec::new(),
+            iteration_end: now,
             idle: true,
         }
     }
 
-    /// A request arrives.
+    /// Queues a request; an idle engine starts an iteration.
     pub fn enqueue(&mut self, id: u64, now: Instant) {
         self.queue.push_back(id);
         if self.idle {
-            self.begin_pass(now);
+            self.begin_iteration(now);
         }
     }
 
-    /// Requests that run or wait.
+    /// Requests that run or are queued.
     pub fn request_count(&self) -> usize {
-        self.queue.len() + self.reading.len() + self.writing.len()
+        self.queue.len() + self.prefilling.len() + self.decoding.len()
     }
 
-    /// Works up to `now`; returns what happened.
+    /// Runs all iterations that end by `now`; returns their events.
     pub fn advance_to(&mut self, now: Instant) -> Vec<EngineEvent> {
         let mut events = Vec::new();
-        while !self.idle && self.pass_ends <= now {
-            self.end_pass(&mut events);
-            self.begin_pass(self.pass_ends);
+        while !self.idle && self.iteration_end <= now {
+            self.end_iteration(&mut events);
+            self.begin_iteration(self.iteration_end);
         }
         events
     }
 
-    fn begin_pass(&mut self, now: Instant) {
-        let free = self.model.slots.saturating_sub(self.writing.len());
-        self.reading = self.queue.drain(..free.min(self.queue.len())).collect();
-        self.idle = self.reading.is_empty() && self.writing.is_empty();
-        let reading = self.model.prefill_time * self.reading.len() as u32;
-        self.pass_ends = now + self.model.step_time + reading;
+    fn begin_iteration(&mut self, now: Instant) {
+        let free_slots = self.params.slots.saturating_sub(self.decoding.len());
+        self.prefilling = self.queue.drain(..free_slots.min(self.queue.len())).collect();
+        self.idle = self.prefilling.is_empty() && self.decoding.is_empty();
+        let prefill_time = self.params.prefill_time * self.prefilling.len() as u32;
+        self.iteration_end = now + self.params.iteration_time + prefill_time;
     }
 
-    fn end_pass(&mut self, events: &mut Vec<EngineEvent>) {
-        for id in self.reading.drain(..) {
+    fn end_iteration(&mut self, events: &mut Vec<EngineEvent>) {
+        for id in self.prefilling.drain(..) {
             events.push(EngineEvent::FirstEvent(id));
-            self.writing.push(WritingRequest { id, left: self.model.response_events });
+            self.decoding.push(DecodingRequest { id, events_left: self.params.response_events });
         }
-        for request in &mut self.writing {
-            request.left -= 1;
-            if request.left == 0 {
+        for request in &mut self.decoding {
+            request.events_left -= 1;
+            if request.events_left == 0 {
                 events.push(EngineEvent::LastEvent(request.id));
             }
         }
-        self.writing.retain(|request| request.left > 0);
+        self.decoding.retain(|request| request.events_left > 0);
     }
 }
--- a/crates/testkit/src/group.rs
+++ b/crates/testkit/src/group.rs
@@ -1,4 +1,4 @@
-//! The simulated group.
+//! A simulated control group.
 
 mod network;
 
@@ -12,23 +12,23 @@
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
-/// What became of a submitted command, as its caller was told.
+/// Outcome of a submitted command, as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SimReply {
     /// Committed and applied.
     Applied(CatalogReply),
-    /// Certainly not accepted.
+    /// Not proposed, so it is never committed.
     Rejected(ProposeError),
-    /// Replaced by another leader's entry: certainly not accepted.
+    /// Another leader's entry was committed at its index, so it is never committed.
     Replaced,
-    /// No answer yet.
+    /// No reply yet.
     Pending,
 }
 
 struct SimMember {
     identity: MemberIdentity,
     disk: RecoveredState,
-    /// Absent while crashed.
+    /// `None` while the member is crashed.
     node: Option<ReplicaNode>,
     frozen: bool,
     catalog: CatalogState,
@@ -38,13 +38,13 @@
     seed: u64,
 }
 
-/// Members, network and time.
+/// A control group with a simulated network, disks, and clock.
 pub struct GroupSim {
     config: ReplicaConfig,
     now: Duration,
     members: Vec<SimMember>,
     network: Vec<Envelope>,
-    cuts: IndexSet<(usize, usize)>,
+    cut_links: IndexSet<(usize, usize)>,
     replies: Vec<SimReply>,
     reads: IndexMap<u64, (LogIndex, Option<Option<LogIndex>>)>,
     safety_checker: SafetyChecker,
@@ -52,7 +52,7 @@
 }
 
 impl GroupSim {
-    /// A group of `voters` members that all start with the same founding snapshot.
+    /// A group of `voters` voters that all start from the same bootstrap snapshot.
     pub fn new(voters: usize, config: ReplicaConfig) -> Self {
         let mut membership = Membership::single_voter(record(0));
         for number in 1..voters {
@@ -68,7 +68,7 @@
             now: Duration::ZERO,
             members: Vec::new(),
             network: Vec::new(),
-            cuts: IndexSet::new(),
+            cut_links: IndexSet::new(),
             replies: Vec::new(),
             reads: IndexMap::new(),
             safety_checker: SafetyChecker::default(),
@@ -107,7 +107,7 @@
         self.restart(number);
     }
 
-    /// Adds a member with an empty disk that waits to be added; returns its number.
+    /// Starts a member with an empty disk that is not in the membership yet; returns its number.
     pub fn add_empty_member(&mut self) -> usize {
         let number = self.members.len();
         self.push_member(number, None, RecoveredState::default());
@@ -129,7 +129,7 @@
         self.now
     }
 
-    /// What was accepted so far.
+    /// The checker that sees every commit, leader, and state of this group.
     pub fn safety_checker(&self) -> &SafetyChecker {
         &self.safety_checker
     }
@@ -139,12 +139,12 @@
         &self.members[number].catalog
     }
 
-    /// A member's replica, unless it is down.
+    /// A member's replica, unless the member is crashed.
     pub fn node(&self, number: usize) -> Option<&ReplicaNode> {
         self.members[number].node.as_ref()
     }
 
-    /// Members that believe to lead, with their terms.
+    /// Members that consider themselves the leader, with their terms.
     pub fn leaders(&self) -> Vec<(usize, Term)> {
         let leads = |(number, member): (usize, &SimMember)| {
             let node = member.node.as_ref().filter(|node| node.is_leader())?;
@@ -153,18 +153,18 @@
         self.members.iter().enumerate().filter_map(leads).collect()
     }
 
-    /// The leader of the highest term, if anyone leads.
+    /// The leader of the highest term, if there is a leader.
     pub fn leader(&self) -> Option<usize> {
         self.leaders().into_iter().max_by_key(|(_, term)| *term).map(|(number, _)| number)
     }
 
-    /// Crashes a member: what it had not synced is lost.
+    /// Crashes a member; what it has not synced is lost.
     pub fn crash(&mut self, number: usize) {
         let member = &mut self.members[number];
         member.node = None;
         member.frozen = false;
         member.inbox.clear();
-        // Whoever waited for an answer of this member never gets one.
+        // The callers of its pending commands never receive a reply.
         member.pending.clear();
     }
 
@@ -183,29 +183,29 @@
         member.node = Some(node);
     }
 
-    /// Loses a member's disk with the member; its number stays unused from then on.
+    /// Crashes a member and erases its disk; its number is not used again.
     pub fn crash_and_erase_disk(&mut self, number: usize) {
         self.crash(number);
         self.members[number].disk = RecoveredState::default();
     }
 
-    /// Stops a member's time without ending it; messages wait.
+    /// Suspends a member without crashing it; messages to it wait.
     pub fn freeze(&mut self, number: usize) {
         self.members[number].frozen = true;
     }
 
-    /// Lets a frozen member go on.
+    /// Resumes a frozen member.
     pub fn thaw(&mut self, number: usize) {
         self.members[number].frozen = false;
     }
 
-    /// Silently drops everything between two members from now on, in both directions.
+    /// Silently drops all messages between two members from now on, in both directions.
     pub fn cut_link(&mut self, a: usize, b: usize) {
-        self.cuts.insert((a, b));
-        self.cuts.insert((b, a));
+        self.cut_links.insert((a, b));
+        self.cut_links.insert((b, a));
     }
 
-    /// Cuts a member off from all others.
+    /// Cuts the links between a member and all others.
     pub fn isolate(&mut self, number: usize) {
         for other in 0..self.members.len() {
             if other != number {
@@ -214,12 +214,12 @@
         }
     }
 
-    /// Mends all cuts.
+    /// Restores all links.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.cut_links.clear();
     }
 
-    /// Advances time by one step and lets every running member see it.
+    /// Advances time by `step` and runs every member that is neither crashed nor frozen.
     pub fn tick(&mut self, step: Duration) {
         self.now += step;
         self.log_millis += step.as_millis() as u64;
@@ -230,51 +230,52 @@
         }
     }
 
-    /// Advances time in small steps, delivering everything as it comes.
+    /// Advances time in steps of 10 ms and delivers all messages after each step.
     pub fn run(&mut self, duration: Duration) {
         const STEP: Duration = Duration::from_millis(10);
         let end = self.now + duration;
         while self.now < end {
             self.tick(STEP);
-            // Messages beget messages; a bound keeps a fault in the protocol from looping here.
-            let mut budget = 10_000;
-            while !self.network.is_empty() && budget > 0 {
+            // Each delivery can send further messages; the limit prevents an endless loop if a
+            // protocol fault makes members reply to each other forever.
+            let mut deliveries_left = 10_000;
+            while !self.network.is_empty() && deliveries_left > 0 {
                 self.deliver(0);
-                budget -= 1;
+                deliveries_left -= 1;
             }
         }
     }
 
-    /// Runs until somebody leads whose term has begun; returns who.
+    /// Runs until the leader of the highest term is not frozen; returns its number.
     ///
     /// # Panics
-    /// Panics if nobody does within a simulated minute.
+    /// Panics if there is none within a simulated minute.
     pub fn run_until_leader(&mut self) -> usize {
         for _ in 0..6_000 {
             self.run(Duration::from_millis(10));
-            let live = self.leader().filter(|number| !self.members[*number].frozen);
-            if let Some(number) = live {
+            let active_leader = self.leader().filter(|number| !self.members[*number].frozen);
+            if let Some(number) = active_leader {
                 return number;
             }
         }
-        let view = |member: &SimMember| member.node.as_ref().map(ReplicaNode::status);
-        let views: Vec<_> = self.members.iter().map(view).collect();
-        panic!("nobody leads after a minute: {views:#?}");
+        let status_of = |member: &SimMember| member.node.as_ref().map(ReplicaNode::status);
+        let statuses: Vec<_> = self.members.iter().map(status_of).collect();
+        panic!("no leader within a simulated minute: {statuses:#?}");
     }
 
-    /// Runs until somebody leads, at most for `limit`.
-    pub fn run_until_leader_or_timeout(&mut self, limit: Duration) {
-        let end = self.now + limit;
+    /// Runs until there is a leader, at most for `timeout`.
+    pub fn run_until_leader_or_timeout(&mut self, timeout: Duration) {
+        let end = self.now + timeout;
         while self.now < end && self.leader().is_none() {
             self.run(Duration::from_millis(50));
         }
     }
 
-    /// Submits a command to a member; returns the number of its reply.
+    /// Submits a command to a member; returns the token for [`GroupSim::reply`].
     pub fn submit(&mut self, number: usize, command: CatalogCommand) -> usize {
         let at = egretseam_catalog::LogTime(self.log_millis);
-        let stamped = TimestampedCommand { at, command };
-        let bytes = postcard::to_stdvec(&stamped).expect("in-memory encoding does not fail");
+        let timestamped = TimestampedCommand { at, command };
+        let bytes = postcard::to_stdvec(&timestamped).expect("in-memory encoding does not fail");
         let token = self.replies.len();
         self.replies.push(SimReply::Pending);
         let member = &mut self.members[number];
@@ -291,7 +292,7 @@
         token
     }
 
-    /// As [`GroupSim::submit`], but the member crashes before what it wrote is synced.
+    /// As [`GroupSim::submit`], but the member crashes before it syncs what it wrote.
     pub fn submit_and_crash(&mut self, number: usize, command: CatalogCommand) -> usize {
         self.freeze(number);
         let token = self.submit(number, command);
@@ -300,12 +301,12 @@
         token
     }
 
-    /// What a submitted command came to.
+    /// The outcome of a submitted command.
     pub fn reply(&self, token: usize) -> &SimReply {
         &self.replies[token]
     }
 
-    /// Asks a member for one step of membership.
+    /// Proposes one membership change to a member.
     ///
     /// # Errors
     /// As [`ReplicaNode::change_membership`].
@@ -323,20 +324,21 @@
 
     /// Begins a confirmed read at a member.
     pub fn read(&mut self, number: usize, token: u64) {
-        let accepted = self.safety_checker.last_committed();
-        self.reads.insert(token, (accepted, None));
+        let committed_index = self.safety_checker.last_committed();
+        self.reads.insert(token, (committed_index, None));
         if let Some(node) = self.members[number].node.as_mut() {
             node.read(ReadToken(token));
             self.run_member(number, false);
         }
     }
 
-    /// What a read came to: nothing yet, dropped, or confirmed at an index.
+    /// Outcome of a read: `None` while it is pending, `Some(None)` if it was dropped, else the index
+    /// at which it was confirmed.
     pub fn read_result(&self, token: u64) -> Option<Option<LogIndex>> {
         self.reads.get(&token).and_then(|(_, result)| *result)
     }
 
-    /// Replaces a member's log up to what it applied by a snapshot.
+    /// Replaces a member's log up to its applied index by a snapshot.
     pub fn compact(&mut self, number: usize) {
         let member = &mut self.members[number];
         let data = member.catalog.encode();
@@ -347,7 +349,7 @@
         }
     }
 
-    /// A record for a member that is to be added.
+    /// The record that adds a member as a learner.
     pub fn record(&self, number: usize) -> MemberRecord {
         MemberRecord { voter: false, ..record(number) }
     }
@@ -357,8 +359,8 @@
         self.members[number].identity.id
     }
 
-    /// Lets a member take in what waits and carry out what follows. With `crash`, it goes down
-    /// after its messages left that need no sync, and before anything was synced.
+    /// Delivers a member's inbox to its replica and carries out the output. With `crash`, the
+    /// member crashes after it sent the messages that need no sync, and before it synced anything.
     pub fn run_member(&mut self, number: usize, crash: bool) {
         let now = self.now;
         let Some(node) = self.members[number].node.as_mut() else { return };
@@ -403,9 +405,14 @@
             self.apply(number, &entry);
         }
         for outcome in output.reads {
-            let Some((accepted, result)) = self.reads.get_mut(&outcome.token.0) else { continue };
+            let Some((committed_index, result)) = self.reads.get_mut(&outcome.token.0) else {
+                continue;
+            };
             if let Some(index) = outcome.index {
-                assert!(index >= *accepted, "a read was confirmed behind what was accepted");
+                assert!(
+                    index >= *committed_index,
+                    "a read was confirmed below the commit index at its start"
+                );
             }
             *result = Some(outcome.index);
         }
@@ -414,15 +421,19 @@
     fn apply(&mut self, number: usize, entry: &LogEntry) {
         self.safety_checker.record_committed(entry);
         let member = &mut self.members[number];
-        assert_eq!(entry.index, member.applied.next(), "entries are handed out in order");
+        assert_eq!(
+            entry.index,
+            member.applied.next(),
+            "committed entries must be delivered in order"
+        );
         member.applied = entry.index;
         let mut reply = None;
         if let EntryPayload::Command(bytes) = &entry.payload {
-            let stamped: TimestampedCommand =
+            let timestamped: TimestampedCommand =
                 postcard::from_bytes(bytes).expect("our own encoding");
             let before = member.catalog.view().revision;
-            reply = Some(member.catalog.apply(&stamped));
-            assert!(member.catalog.view().revision >= before, "a revision went back");
+            reply = Some(member.catalog.apply(&timestamped));
+            assert!(member.catalog.view().revision >= before, "the catalog revision decreased");
             self.safety_checker.record_state(entry.index, member.catalog.encode());
         }
         if let Some((term, token)) = member.pending.shift_remove(&entry.index) {
@@ -446,7 +457,7 @@
     MemberId(number as u64 + 1)
 }
 
-fn number_of(id: MemberId) -> usize {
+fn member_number(id: MemberId) -> usize {
     id.0 as usize - 1
 }
 
@@ -467,5 +478,5 @@
 }
 
 fn replay(disk: &mut RecoveredState, write: LogWrite) {
-    disk.replay(write).expect("writes continue what the disk holds");
+    disk.replay(write).expect("a write must continue the log on disk");
 }
--- a/crates/testkit/src/group/network.rs
+++ b/crates/testkit/src/group/network.rs
@@ -1,26 +1,28 @@
-//! Messages under way: delivered, doubled, lost, in any order.
+//! The simulated network: delivers, duplicates, drops, and reorders messages in flight.
 
-use super::{GROUP, GroupSim, member_id, number_of};
+use super::{GROUP, GroupSim, member_id, member_number};
 use egretseam_replica::{Envelope, Message};
 
 impl GroupSim {
-    /// Messages under way.
+    /// Number of messages in flight.
     pub fn in_flight(&self) -> usize {
         self.network.len()
     }
 
-    /// Delivers the message at `at`, wherever it stands in the order.
+    /// Delivers the message at position `at`, ahead of those sent before it.
     pub fn deliver(&mut self, at: usize) {
         if at < self.network.len() {
             let envelope = self.network.remove(at);
-            self.hand_over(envelope);
+            self.deliver_envelope(envelope);
         }
     }
 
-    /// Delivers the message at `at`; its addressee crashes after what needs no sync has left, and
-    /// before anything it wrote was synced.
+    /// Delivers the message at `at`. Its receiver crashes after it sent the messages that need no
+    /// sync, and before it synced anything.
     pub fn deliver_and_crash(&mut self, at: usize) {
-        let Some(to) = self.network.get(at).map(|envelope| number_of(envelope.to)) else { return };
+        let Some(to) = self.network.get(at).map(|envelope| member_number(envelope.to)) else {
+            return;
+        };
         if to >= self.members.len() || self.members[to].frozen {
             return;
         }
@@ -30,74 +32,74 @@
         self.run_member(to, true);
     }
 
-    /// Delivers every message under way that fits. With `crash`, the addressee of the first goes
-    /// down before it syncs, and the others are not delivered.
-    pub fn deliver_where(&mut self, fits: impl Fn(usize, usize, &Message) -> bool, crash: bool) {
+    /// Delivers every message in flight that `filter` accepts. With `crash`, the receiver of the
+    /// first one crashes before it syncs, and the other accepted messages are dropped.
+    pub fn deliver_where(&mut self, filter: impl Fn(usize, usize, &Message) -> bool, crash: bool) {
         let waiting = std::mem::take(&mut self.network);
-        let (chosen, kept): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|envelope| {
-            fits(number_of(envelope.from), number_of(envelope.to), &envelope.message)
+        let (accepted, kept): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|envelope| {
+            filter(member_number(envelope.from), member_number(envelope.to), &envelope.message)
         });
         self.network = kept;
-        for envelope in chosen {
+        for envelope in accepted {
             if crash {
                 self.network.insert(0, envelope);
                 self.deliver_and_crash(0);
                 return;
             }
-            self.hand_over(envelope);
+            self.deliver_envelope(envelope);
         }
     }
 
-    /// Delivers the first message under way that fits; returns whether there was one.
-    pub fn deliver_first(&mut self, fits: impl Fn(usize, usize, &Message) -> bool) -> bool {
-        let chosen = self.network.iter().position(|envelope| {
-            fits(number_of(envelope.from), number_of(envelope.to), &envelope.message)
+    /// Delivers the first message in flight that `filter` accepts; returns whether there was one.
+    pub fn deliver_first(&mut self, filter: impl Fn(usize, usize, &Message) -> bool) -> bool {
+        let accepted = self.network.iter().position(|envelope| {
+            filter(member_number(envelope.from), member_number(envelope.to), &envelope.message)
         });
-        let Some(at) = chosen else { return false };
+        let Some(at) = accepted else { return false };
         self.deliver(at);
         true
     }
 
-    /// Loses every message under way.
+    /// Drops every message in flight.
     pub fn drop_all_messages(&mut self) {
         self.network.clear();
     }
 
-    /// Lets a member campaign as if its leader had gone silent for it alone: another member's
-    /// request to take over does that, and so this stands for any timing of timeouts.
+    /// Makes a member campaign at once, as if it alone no longer heard its leader. It receives
+    /// `TimeoutNow` from another member, so a test can choose any timing of election timeouts.
     pub fn campaign(&mut self, number: usize) {
         let Some(node) = self.members[number].node.as_ref() else { return };
         let term = node.status().term;
         let message = Message::TimeoutNow;
         let to = self.members[number].identity.id;
         let from = member_id((number + 1) % self.members.len());
-        self.hand_over(Envelope { group: GROUP, from, to, term, message });
+        self.deliver_envelope(Envelope { group: GROUP, from, to, term, message });
     }
 
-    /// Delivers a copy of the message at `at` and leaves it under way.
+    /// Delivers a copy of the message at `at` and keeps the message in flight.
     pub fn duplicate(&mut self, at: usize) {
         if let Some(envelope) = self.network.get(at).cloned() {
-            self.hand_over(envelope);
+            self.deliver_envelope(envelope);
         }
     }
 
-    /// Loses the message at `at`.
+    /// Drops the message at `at`.
     pub fn drop_message(&mut self, at: usize) {
         if at < self.network.len() {
             self.network.remove(at);
         }
     }
 
-    pub(super) fn hand_over(&mut self, envelope: Envelope) {
-        let numbers = (number_of(envelope.from), number_of(envelope.to));
-        if self.cuts.contains(&numbers) || numbers.1 >= self.members.len() {
+    pub(super) fn deliver_envelope(&mut self, envelope: Envelope) {
+        let link = (member_number(envelope.from), member_number(envelope.to));
+        if self.cut_links.contains(&link) || link.1 >= self.members.len() {
             return;
         }
-        let member = &mut self.members[numbers.1];
+        let member = &mut self.members[link.1];
         if member.node.is_some() {
             member.inbox.push(envelope);
             if !member.frozen {
-                self.run_member(numbers.1, false);
+                self.run_member(link.1, false);
             }
         }
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,7 +1,9 @@
-//! A control group without sockets, files or clocks, for tests: real replicas and catalogs, a
-//! network that a test can cut and shuffle, disks that forget what was not synced, and time that
-//! stands still until it is advanced. Beside it a service under load: the tables of entries
-//! before engines that are modelled.
+//! Deterministic simulations for tests, without sockets, files, or a real clock.
+//!
+//! [`GroupSim`] runs the real replicas and catalogs of a control group on a network that a test can
+//! partition and reorder, on disks that lose what was not synced, and on a clock that only the test
+//! advances. [`simulate_load`] runs the real target tables and wait queues of entries against
+//! simulated engines.
 
 mod batch_engine;
 mod group;
--- a/crates/testkit/src/safety_checker.rs
+++ b/crates/testkit/src/safety_checker.rs
@@ -1,9 +1,9 @@
-//! What was accepted at some time by some member; nothing later may contradict it.
+//! Checks the safety of a replicated log: no member may contradict what any member saw committed.
 
 use egretseam_replica::{LogEntry, LogIndex, MemberId, Term};
 use indexmap::IndexMap;
 
-/// All entries handed out as committed and all leaders seen.
+/// Committed entries, leaders, and states that any member has shown.
 #[derive(Debug, Default)]
 pub struct SafetyChecker {
     entries: IndexMap<LogIndex, LogEntry>,
@@ -12,16 +12,20 @@
 }
 
 impl SafetyChecker {
-    /// Notes a committed entry.
+    /// Records an entry that a member delivered as committed.
     ///
     /// # Panics
-    /// Panics if another member was given a different entry at the same index.
+    /// Panics if another member delivered a different entry at the same index.
     pub fn record_committed(&mut self, entry: &LogEntry) {
         let known = self.entries.entry(entry.index).or_insert_with(|| entry.clone());
-        assert_eq!(known, entry, "two members were given different entries at {}", entry.index);
+        assert_eq!(
+            known, entry,
+            "two members committed different entries at index {}",
+            entry.index
+        );
     }
 
-    /// Notes a leader.
+    /// Records a leader.
     ///
     /// # Panics
     /// Panics if another member led in the same term.
@@ -30,16 +34,16 @@
         assert_eq!(known, id, "two leaders in term {term}");
     }
 
-    /// Notes the state machine's content after an index.
+    /// Records a member's state after it applied the entry at `index`.
     ///
     /// # Panics
-    /// Panics if another member's differs.
+    /// Panics if another member had a different state at the same index.
     pub fn record_state(&mut self, index: LogIndex, state: Vec<u8>) {
         let known = self.states.entry(index).or_insert_with(|| state.clone());
-        assert_eq!(*known, state, "two members hold different states at {index}");
+        assert_eq!(*known, state, "two members hold different states at index {index}");
     }
 
-    /// The last index handed out as committed by anyone.
+    /// The highest index that any member delivered as committed.
     pub fn last_committed(&self) -> LogIndex {
         self.entries.keys().max().copied().unwrap_or_default()
     }
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -1,5 +1,5 @@
-//! A service of several engines under load from several entries, each with its own view: the real
-//! tables and queues of entries, modelled engines, and reports that lag.
+//! Simulates a service under simulation: several entries, each with its own target table and wait queue,
+//! place requests on simulated engines, whose load reports place_or_queue with a delay.
 
 use crate::batch_engine::{BatchEngine, EngineEvent, EngineParams};
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
@@ -12,125 +12,125 @@
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// Steps of the simulated time.
-const STEP: Duration = Duration::from_millis(5);
-/// Time between two reports of an engine.
+/// Resolution of the simulated time.
+const TIME_STEP: Duration = Duration::from_millis(5);
+/// Time between two load reports of an engine.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// How old a report is when entries have it.
-const REPORT_AGE: Duration = Duration::from_millis(280);
+/// Time from the creation of a load report until entries receive it.
+const REPORT_DELAY: Duration = Duration::from_millis(280);
 
-/// What is played.
+/// Parameters of one simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadScript {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Requests a second.
+    /// Mean rate of new requests outside of the burst.
     pub requests_per_second: f64,
-    /// For how long.
+    /// Simulated time.
     pub duration: Duration,
-    /// Times as many requests, from this moment to that one.
+    /// Factor on the request rate, and the start and end of the burst in which it applies.
     pub burst: (f64, Duration, Duration),
-    /// From this moment to that one no engine takes anything, and all say so.
+    /// Start and end of an outage, in which all engines report that they are loading weights.
     pub outage: Option<(Duration, Duration)>,
-    /// Whether requests are held while no engine takes anything.
+    /// Whether entries queue requests in an outage instead of rejecting them at once.
     pub queues_during_outage: bool,
-    /// Time to the first event within which an answer is in time.
+    /// Longest time to the first event of a response that counts as in time.
     pub latency_objective: Duration,
-    /// Whether those who come back wait behind new ones.
+    /// Whether retries and late requests wait behind new requests.
     pub late_requests_last: bool,
-    /// Whether entries know of each other.
+    /// Whether each entry knows how many entries send to the same engines.
     pub knows_entry_count: bool,
-    /// Choice of targets.
+    /// How entries choose targets.
     pub placement: PlacementPolicy,
-    /// Waiting.
+    /// How entries queue requests.
     pub waiting: WaitPolicy,
-    /// Engines.
+    /// Parameters of every engine.
     pub engine: EngineParams,
 }
 
-/// What came of it.
+/// Totals of one simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadResult {
-    /// Requests.
+    /// Requests that callers sent, without retries.
     pub requests: u32,
-    /// Answers whose first event came in time.
+    /// Responses whose first event came within the latency objective.
     pub in_time: u32,
-    /// Answers that began later.
+    /// Responses whose first event came later.
     pub late: u32,
-    /// Requests rejected for the second time; each caller comes back once.
+    /// Requests that were rejected twice; each caller retries once.
     pub rejected: u32,
 }
 
-struct LoadEntry {
+struct SimulatedEntry {
     table: TargetTable,
     queue: WaitQueue<u64>,
 }
 
 struct PlacedRequest {
-    due: Instant,
+    arrived_at: Instant,
     sent: Instant,
     entry: usize,
     target: usize,
 }
 
-/// The service while it is played.
-struct ServiceLoad {
+/// State of a running simulation.
+struct LoadSimulation {
     script: LoadScript,
     service: ServiceName,
     model: ModelName,
-    entries: Vec<LoadEntry>,
+    entries: Vec<SimulatedEntry>,
     engines: Vec<BatchEngine>,
-    due: IndexMap<u64, Instant>,
-    /// Callers that were rejected once, by when they come back.
-    returning: Vec<(Instant, u64)>,
-    returned: IndexSet<u64>,
+    arrivals: IndexMap<u64, Instant>,
+    /// Requests that were rejected once, with the time of their retry.
+    retries: Vec<(Instant, u64)>,
+    retried: IndexSet<u64>,
     placed: IndexMap<u64, PlacedRequest>,
     in_outage: bool,
-    /// Reports under way: when they arrive, and how busy each engine was.
+    /// Load reports in flight: when they arrive, and the number of requests at each engine.
     reports: VecDeque<(Instant, Vec<u32>)>,
     result: LoadResult,
 }
 
-/// Plays a script.
+/// Runs one simulation.
 ///
 /// # Panics
-/// Panics if the tables name a target that does not exist.
+/// Panics if a table chooses a target that does not exist.
 pub fn simulate_load(script: &LoadScript) -> LoadResult {
     let start = Instant::now();
-    let mut load = ServiceLoad::new(*script, start);
+    let mut simulation = LoadSimulation::new(*script, start);
     let mut now = start;
-    let mut owed = 0.0;
-    let mut number = 0;
+    let mut accrued_requests = 0.0;
+    let mut last_id = 0;
     let mut report_due = start;
     while now < start + script.duration {
-        now += STEP;
-        load.work(now);
-        load.begin_or_end_outage(now - start, now);
+        now += TIME_STEP;
+        simulation.advance_engines(now);
+        simulation.update_outage(now - start, now);
         if now >= report_due {
             report_due += REPORT_INTERVAL;
-            load.report(now);
+            simulation.send_reports(now);
         }
-        load.hear(now);
-        let (times, from, to) = script.burst;
+        simulation.deliver_reports(now);
+        let (factor, from, to) = script.burst;
         let in_burst = (from..to).contains(&(now - start));
-        let rate = script.requests_per_second * if in_burst { times } else { 1.0 };
-        owed += rate * STEP.as_secs_f64() * rand::random_range(0.0..2.0);
-        while owed >= 1.0 {
-            owed -= 1.0;
-            number += 1;
-            load.result.requests += 1;
-            load.due.insert(number, now);
-            load.arrive(number, now);
+        let rate = script.requests_per_second * if in_burst { factor } else { 1.0 };
+        accrued_requests += rate * TIME_STEP.as_secs_f64() * rand::random_range(0.0..2.0);
+        while accrued_requests >= 1.0 {
+            accrued_requests -= 1.0;
+            last_id += 1;
+            simulation.result.requests += 1;
+            simulation.arrivals.insert(last_id, now);
+            simulation.place_or_queue(last_id, now);
         }
-        load.come_back(now);
-        load.pump(now);
+        simulation.send_due_retries(now);
+        simulation.dispatch_waiting(now);
     }
-    load.result
+    simulation.result
 }
 
-impl ServiceLoad {
+impl LoadSimulation {
     fn new(script: LoadScript, now: Instant) -> Self {
         let name = "a valid name";
         let service = ServiceName::try_from("runners").expect(name);
@@ -145,7 +145,7 @@
                 let record = target_record(number, &script, &service, &model, &zone);
                 table.apply_target(0, &TargetStatus { record, silent: false, age_millis: 0 }, now);
             }
-            LoadEntry { table, queue: WaitQueue::new(script.waiting) }
+            SimulatedEntry { table, queue: WaitQueue::new(script.waiting) }
         };
         Self {
             entries: (0..script.entries).map(entry).collect(),
@@ -153,9 +153,9 @@
             script,
             service,
             model,
-            due: IndexMap::new(),
-            returning: Vec::new(),
-            returned: IndexSet::new(),
+            arrivals: IndexMap::new(),
+            retries: Vec::new(),
+            retried: IndexSet::new(),
             placed: IndexMap::new(),
             in_outage: false,
             reports: VecDeque::new(),
@@ -163,166 +163,173 @@
         }
     }
 
-    fn work(&mut self, now: Instant) {
+    fn advance_engines(&mut self, now: Instant) {
         for engine in 0..self.engines.len() {
             for event in self.engines[engine].advance_to(now) {
                 match event {
-                    EngineEvent::FirstEvent(id) => self.began(id, now),
-                    EngineEvent::LastEvent(id) => self.ended(id, now),
+                    EngineEvent::FirstEvent(id) => self.record_first_event(id, now),
+                    EngineEvent::LastEvent(id) => self.record_last_event(id, now),
                 }
             }
         }
     }
 
-    fn began(&mut self, id: u64, now: Instant) {
+    fn record_first_event(&mut self, id: u64, now: Instant) {
         let Some(placed) = self.placed.get(&id) else { return };
         let table = &mut self.entries[placed.entry].table;
         table.record_first_byte(&target_id(placed.target), placed.sent, now);
-        if now - placed.due <= self.script.latency_objective {
+        if now - placed.arrived_at <= self.script.latency_objective {
             self.result.in_time += 1;
         } else {
             self.result.late += 1;
         }
     }
 
-    fn ended(&mut self, id: u64, now: Instant) {
+    fn record_last_event(&mut self, id: u64, now: Instant) {
         let Some(placed) = self.placed.swap_remove(&id) else { return };
         let table = &mut self.entries[placed.entry].table;
         table.finish_attempt(&target_id(placed.target), AttemptOutcome::Answered, now);
     }
 
-    fn begin_or_end_outage(&mut self, elapsed: Duration, now: Instant) {
+    fn update_outage(&mut self, elapsed: Duration, now: Instant) {
         let in_outage = self.script.outage.is_some_and(|(from, to)| (from..to).contains(&elapsed));
         if in_outage == self.in_outage {
             return;
         }
         self.in_outage = in_outage;
-        let held = HeldModel { model: self.model.clone(), version: 1 };
+        let loaded = HeldModel { model: self.model.clone(), version: 1 };
         for number in 0..self.engines.len() {
-            let news = EngineStatus {
+            let status = EngineStatus {
                 address: address(number),
                 incarnation: Incarnation::UNSTATED,
-                models: vec![held.clone()],
+                models: vec![loaded.clone()],
                 loading: in_outage,
                 stalled: false,
                 link_delay_millis: 0,
                 age_millis: 0,
             };
             for entry in &mut self.entries {
-                entry.table.apply_engine(&news, now);
+                entry.table.apply_engine(&status, now);
             }
         }
     }
 
-    fn report(&mut self, now: Instant) {
-        let busy = self.engines.iter().map(|engine| engine.request_count() as u32).collect();
-        self.reports.push_back((now + REPORT_AGE, busy));
+    fn send_reports(&mut self, now: Instant) {
+        let request_counts =
+            self.engines.iter().map(|engine| engine.request_count() as u32).collect();
+        self.reports.push_back((now + REPORT_DELAY, request_counts));
     }
 
-    fn hear(&mut self, now: Instant) {
+    fn deliver_reports(&mut self, now: Instant) {
         while self.reports.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, busy)) = self.reports.pop_front() else { return };
+            let Some((_, request_counts)) = self.reports.pop_front() else { return };
             for entry in &mut self.entries {
-                for (number, busy) in busy.iter().enumerate() {
-                    entry.table.record_load_at(address(number), *busy, now - REPORT_AGE);
+                for (number, request_count) in request_counts.iter().enumerate() {
+                    entry.table.record_load_at(address(number), *request_count, now - REPORT_DELAY);
                 }
             }
         }
     }
 
-    fn arrive(&mut self, id: u64, now: Instant) {
-        let at = rand::random_range(0..self.entries.len());
-        if self.entries[at].queue.is_empty() && self.place(at, id, now) {
+    fn place_or_queue(&mut self, id: u64, now: Instant) {
+        let entry = rand::random_range(0..self.entries.len());
+        if self.entries[entry].queue.is_empty() && self.try_place(entry, id, now) {
             return;
         }
         if self.in_outage {
-            return self.hold_or_refuse(at, id, now);
+            return self.queue_for_outage_end(entry, id, now);
         }
-        let usual = self.entries[at].table.median_first_byte(&self.service, now);
-        let trying_for = self.due.get(&id).map_or(Duration::ZERO, |due| now - *due);
-        let known = if self.script.late_requests_last { trying_for } else { Duration::ZERO };
-        let claim = WaitUrgency::new(1, self.script.latency_objective, known);
-        let queue = &mut self.entries[at].queue;
-        let give_up_at = now + queue.wait_limit(&claim, usual);
-        if queue.push(&claim, give_up_at, id, now).is_err() {
-            self.refuse(at, id, now);
+        let median_first_byte = self.entries[entry].table.median_first_byte(&self.service, now);
+        let time_since_arrival =
+            self.arrivals.get(&id).map_or(Duration::ZERO, |arrived_at| now - *arrived_at);
+        let counted_wait =
+            if self.script.late_requests_last { time_since_arrival } else { Duration::ZERO };
+        let urgency = WaitUrgency::new(1, self.script.latency_objective, counted_wait);
+        let queue = &mut self.entries[entry].queue;
+        let deadline = now + queue.wait_limit(&urgency, median_first_byte);
+        if queue.push(&urgency, deadline, id, now).is_err() {
+            self.reject(entry, id, now);
         }
     }
 
-    fn hold_or_refuse(&mut self, at: usize, id: u64, now: Instant) {
-        let claim = WaitUrgency::new(1, self.script.latency_objective, Duration::ZERO).for_outage();
-        let queue = &mut self.entries[at].queue;
-        let give_up_at = now + queue.outage_limit();
+    fn queue_for_outage_end(&mut self, entry: usize, id: u64, now: Instant) {
+        let urgency =
+            WaitUrgency::new(1, self.script.latency_objective, Duration::ZERO).for_outage();
+        let queue = &mut self.entries[entry].queue;
+        let deadline = now + queue.outage_limit();
         if !self.script.queues_during_outage
-            || queue.push_without_prediction(&claim, give_up_at, id).is_err()
+            || queue.push_without_prediction(&urgency, deadline, id).is_err()
         {
-            self.refuse(at, id, now);
+            self.reject(entry, id, now);
         }
     }
 
-    fn refuse(&mut self, at: usize, id: u64, now: Instant) {
-        self.entries[at].queue.record_rejected(now);
-        if self.returned.insert(id) {
-            let after = self.entries[at].queue.retry_after(rand::random());
-            self.returning.push((now + after, id));
+    fn reject(&mut self, entry: usize, id: u64, now: Instant) {
+        self.entries[entry].queue.record_rejected(now);
+        if self.retried.insert(id) {
+            let delay = self.entries[entry].queue.retry_after(rand::random());
+            self.retries.push((now + delay, id));
         } else {
             self.result.rejected += 1;
         }
     }
 
-    fn come_back(&mut self, now: Instant) {
-        let (due, later) = self.returning.drain(..).partition(|(at, _)| *at <= now);
-        self.returning = later;
+    fn send_due_retries(&mut self, now: Instant) {
+        let (due, later) = self.retries.drain(..).partition(|(at, _)| *at <= now);
+        self.retries = later;
         let due: Vec<(Instant, u64)> = due;
         for (_, id) in due {
-            self.arrive(id, now);
+            self.place_or_queue(id, now);
         }
     }
 
-    fn pump(&mut self, now: Instant) {
-        for at in 0..self.entries.len() {
-            for id in self.entries[at].queue.remove_expired(now) {
-                self.refuse(at, id, now);
+    fn dispatch_waiting(&mut self, now: Instant) {
+        for entry in 0..self.entries.len() {
+            for id in self.entries[entry].queue.remove_expired(now) {
+                self.reject(entry, id, now);
             }
             loop {
-                let first = self.entries[at].queue.iter().next().map(|(ticket, id)| (ticket, *id));
+                let first =
+                    self.entries[entry].queue.iter().next().map(|(ticket, id)| (ticket, *id));
                 let Some((ticket, id)) = first else { break };
-                if !self.place(at, id, now) {
+                if !self.try_place(entry, id, now) {
                     break;
                 }
-                self.entries[at].queue.remove(ticket);
+                self.entries[entry].queue.remove(ticket);
             }
         }
     }
 
     fn is_late(&self, id: u64, now: Instant) -> bool {
-        self.due.get(&id).is_some_and(|due| now - *due >= self.script.latency_objective)
+        self.arrivals
+            .get(&id)
+            .is_some_and(|arrived_at| now - *arrived_at >= self.script.latency_objective)
     }
 
-    fn place(&mut self, at: usize, id: u64, now: Instant) -> bool {
+    fn try_place(&mut self, entry: usize, id: u64, now: Instant) -> bool {
         let late = self.script.late_requests_last && self.is_late(id, now);
-        let need = PlacementQuery {
+        let query = PlacementQuery {
             service: &self.service,
             model: Some(&self.model),
             tried: &[],
             late,
             first_byte_deadline: None,
         };
-        let PlacementOutcome::Target(target) = self.entries[at].table.choose(&need, now) else {
+        let PlacementOutcome::Target(target) = self.entries[entry].table.choose(&query, now) else {
             return false;
         };
-        self.entries[at].table.start_attempt(&target, now);
-        self.entries[at].table.record_sent(&target, now);
-        let queue = &mut self.entries[at].queue;
+        self.entries[entry].table.start_attempt(&target, now);
+        self.entries[entry].table.record_sent(&target, now);
+        let queue = &mut self.entries[entry].queue;
         if late {
             queue.record_late_placed(now)
         } else {
             queue.record_placed(now)
         }
-        let number: usize = target.name.parse().expect("targets are named by number");
+        let number: usize = target.name.parse().expect("a target's name is its number");
         self.engines[number].enqueue(id, now);
-        let due = self.due.swap_remove(&id).unwrap_or(now);
-        self.placed.insert(id, PlacedRequest { due, sent: now, entry: at, target: number });
+        let arrived_at = self.arrivals.swap_remove(&id).unwrap_or(now);
+        self.placed.insert(id, PlacedRequest { arrived_at, sent: now, entry, target: number });
         true
     }
 }
