--- a/crates/testkit/src/group/network.rs
+++ b/crates/testkit/src/group/network.rs
@@ -33,14 +33,14 @@
     }
 
     /// Delivers every message in flight that `filter` accepts. With `crash`, the receiver of the
-    /// first one crashes before it syncs, and the other accepted messages are dropped.
+    /// first one crashes before it syncs, and the other selected messages are dropped.
     pub fn deliver_where(&mut self, filter: impl Fn(usize, usize, &Message) -> bool, crash: bool) {
         let waiting = std::mem::take(&mut self.network);
-        let (accepted, kept): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|envelope| {
+        let (selected, kept): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|envelope| {
             filter(member_number(envelope.from), member_number(envelope.to), &envelope.message)
         });
         self.network = kept;
-        for envelope in accepted {
+        for envelope in selected {
             if crash {
                 self.network.insert(0, envelope);
                 self.deliver_and_crash(0);
@@ -52,10 +52,10 @@
 
     /// Delivers the first message in flight that `filter` accepts; returns whether there was one.
     pub fn deliver_first(&mut self, filter: impl Fn(usize, usize, &Message) -> bool) -> bool {
-        let accepted = self.network.iter().position(|envelope| {
+        let selected = self.network.iter().position(|envelope| {
             filter(member_number(envelope.from), member_number(envelope.to), &envelope.message)
         });
-        let Some(at) = accepted else { return false };
+        let Some(at) = selected else { return false };
         self.deliver(at);
         true
     }
--- a/crates/testkit/src/service_load.rs
+++ b/crates/testkit/src/service_load.rs
@@ -1,5 +1,5 @@
-//! Simulates a service under simulation: several entries, each with its own target table and wait queue,
-//! place requests on simulated engines, whose load reports place_or_queue with a delay.
+//! Simulates a service under load: several entries, each with its own target table and wait queue,
+//! place requests on simulated engines, whose load reports arrive with a delay.
 
 use crate::batch_engine::{BatchEngine, EngineEvent, EngineParams};
 use egretseam_proto::{ModelName, ServiceName, ZoneName};
@@ -32,7 +32,8 @@
     pub duration: Duration,
     /// Factor on the request rate, and the start and end of the burst in which it applies.
     pub burst: (f64, Duration, Duration),
-    /// Start and end of an outage, in which all engines report that they are loading weights.
+    /// Start and end of an outage, in which all engines report that they are loading weights, so
+    /// that entries place no requests.
     pub outage: Option<(Duration, Duration)>,
     /// Whether entries queue requests in an outage instead of rejecting them at once.
     pub queues_during_outage: bool,
