--- a/crates/fakes/src/booking.rs
+++ b/crates/fakes/src/booking.rs
@@ -1,4 +1,5 @@
-//! A plain service some of whose calls must not be repeated: `POST /orders` books, `GET` reads.
+//! A fake plain service with a call that is not idempotent: `POST /orders` books an order, and
+//! `GET /orders/<id>` reads how often it was booked.
 
 use actix_http::{Method, Request, StatusCode};
 use egretseam_http::{
@@ -19,31 +20,31 @@
 /// Largest request body in bytes.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// How often each order was booked, over all instances of the service.
+/// Counts how often each order was booked, over all targets of the service.
 #[derive(Clone, Debug, Default)]
 pub struct BookingLedger {
-    runs: Arc<Mutex<IndexMap<String, u32>>>,
+    counts: Arc<Mutex<IndexMap<String, u32>>>,
 }
 
 impl BookingLedger {
     /// How often `id` was booked.
     pub fn booking_count(&self, id: &str) -> u32 {
-        self.runs.lock().expect("no holder panics").get(id).copied().unwrap_or(0)
+        self.counts.lock().expect("no holder panics").get(id).copied().unwrap_or(0)
     }
 
     /// Orders booked more than once.
     pub fn duplicate_count(&self) -> usize {
-        self.runs.lock().expect("no holder panics").values().filter(|runs| **runs > 1).count()
+        self.counts.lock().expect("no holder panics").values().filter(|count| **count > 1).count()
     }
 
     /// Orders booked at all.
     pub fn booked_count(&self) -> usize {
-        self.runs.lock().expect("no holder panics").len()
+        self.counts.lock().expect("no holder panics").len()
     }
 
     fn book(&self, id: &str) -> u32 {
-        let mut runs = self.runs.lock().expect("no holder panics");
-        let count = runs.entry(id.to_owned()).or_insert(0);
+        let mut counts = self.counts.lock().expect("no holder panics");
+        let count = counts.entry(id.to_owned()).or_insert(0);
         *count += 1;
         *count
     }
@@ -60,7 +61,7 @@
     run: u32,
 }
 
-/// A fake plain service.
+/// A fake booking service.
 pub struct FakeBookingService {
     ledger: BookingLedger,
     work_time: Duration,
@@ -80,7 +81,7 @@
         spawn_server(listener, service, ServerOptions::default())
     }
 
-    async fn answer(&self, mut request: Request) -> HttpReply {
+    async fn respond(&self, mut request: Request) -> HttpReply {
         let body = match read_body(&mut request.take_payload(), MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => return text_reply(StatusCode::BAD_REQUEST, error.to_string()),
@@ -106,6 +107,6 @@
 
 impl HttpHandler for FakeBookingService {
     fn handle(self: Rc<Self>, request: Request) -> LocalBoxFuture<'static, HttpReply> {
-        Box::pin(async move { self.answer(request).await })
+        Box::pin(async move { self.respond(request).await })
     }
 }
--- a/crates/fakes/src/completion.rs
+++ b/crates/fakes/src/completion.rs
@@ -1,8 +1,8 @@
-//! What a fake engine answers, and bytes for it to load.
+//! Deterministic completions of a fake engine, and synthetic weights for it to load.
 
 use egretseam_proto::ChunkDigest;
 
-/// The one right answer to a prompt from given weights.
+/// The only correct completion of a prompt by an engine with given weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpectedCompletion {
     weights: ChunkDigest,
@@ -10,12 +10,12 @@
 }
 
 impl ExpectedCompletion {
-    /// The answer of an engine that loaded exactly the bytes with this digest.
+    /// The completion of `prompt` by an engine that loaded exactly the bytes with digest `weights`.
     pub fn new(weights: ChunkDigest, prompt: &str) -> Self {
         Self { weights, prompt: prompt.to_owned() }
     }
 
-    /// Token number `at`.
+    /// The token at position `at`, counted from 0.
     pub fn token(&self, at: u64) -> String {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.weights.as_bytes());
@@ -25,13 +25,13 @@
         format!("{} ", &digest.to_hex()[..6])
     }
 
-    /// The first `count` tokens together.
+    /// The first `count` tokens, concatenated.
     pub fn text(&self, count: u64) -> String {
         (0..count).map(|at| self.token(at)).collect()
     }
 }
 
-/// Pseudo-random bytes that stand for weights; equal seeds give equal bytes.
+/// Pseudo-random bytes to serve as weights; equal seeds give equal bytes.
 pub fn synthetic_weights(seed: u64, bytes: usize) -> Vec<u8> {
     let mut data = vec![0; bytes];
     let mut reader = blake3::Hasher::new().update(&seed.to_le_bytes()).finalize_xof();
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: takes orders, reports its state with a lag, batches, caches prompt beginnings.
+//! A fake model engine: executes load orders, reports its load with a delay, batches requests, and
+//! caches prompt prefixes.
 
 use crate::completion::ExpectedCompletion;
 use actix_http::{
@@ -28,25 +29,25 @@
 
 /// Largest request body in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes of prompt that are cached together.
+/// Prompt bytes in one block of the prefix cache.
 const BLOCK_BYTES: usize = 256;
 
-/// How a fake engine behaves.
+/// Speed, capacity, and behaviour of a fake engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineOptions {
-    /// Requests computed at a time.
+    /// Requests that run at the same time.
     pub slots: usize,
-    /// Time between tokens of one request when it is alone.
+    /// Time between two tokens of a request in a nearly empty batch.
     pub token_interval: Duration,
-    /// Time to compute one block of prompt that is not cached.
+    /// Prefill time of a prompt block that is not cached.
     pub prefill_block_time: Duration,
-    /// Blocks of prompt that the cache holds.
+    /// Prompt blocks that the cache holds.
     pub cache_capacity_blocks: usize,
-    /// Time that a load takes, besides reading the file.
+    /// Time that a load takes in addition to reading the file.
     pub load_time: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing token are rejected.
     pub checks_fences: bool,
-    /// How old the reported load is.
+    /// Age at which the reported load is measured anew.
     pub report_lag: Duration,
 }
 
@@ -64,37 +65,37 @@
     }
 }
 
-/// Misbehaviour that can be switched on from another thread.
+/// Faults that can be switched on from another thread.
 #[derive(Debug, Default)]
 pub struct EngineFaults {
     /// Every load fails.
     pub fail_loads: AtomicBool,
-    /// Streams break after this many tokens; 0 means never.
+    /// Streams break at this token position; 0 means never.
     pub break_after_tokens: AtomicU64,
-    /// Tokens take this many times longer; 0 counts as 1.
+    /// Factor on the time between tokens; 0 counts as 1.
     pub slowdown: AtomicU64,
-    /// Orders are carried out, but their answer is lost.
+    /// Orders are executed, but their HTTP response is never sent.
     pub lose_order_replies: AtomicBool,
-    /// Answers carry no last event.
+    /// Streams end without their last event, `[DONE]`.
     pub omit_done_event: AtomicBool,
 }
 
-/// What a fake engine has done.
+/// Counters of a fake engine.
 #[derive(Debug, Default)]
 pub struct EngineCounters {
-    /// Requests begun.
+    /// Completion requests accepted.
     pub requests: AtomicU64,
-    /// Requests whose caller went away.
+    /// Completion requests whose client disconnected before the end.
     pub cancelled: AtomicU64,
-    /// Orders taken.
+    /// Orders accepted.
     pub orders: AtomicU64,
-    /// Orders refused for their fencing number.
+    /// Orders rejected for an outdated fencing token.
     pub rejected_for_fence: AtomicU64,
-    /// Orders that named bytes which do not match their identity's version.
+    /// Loads that succeeded.
     pub loads_completed: AtomicU64,
-    /// Blocks of prompt found in the cache.
+    /// Prompt blocks found in the cache.
     pub cache_hits: AtomicU64,
-    /// Blocks of prompt computed.
+    /// Prompt blocks not found in the cache.
     pub cache_misses: AtomicU64,
 }
 
@@ -144,7 +145,7 @@
     16
 }
 
-/// A fake engine's state; all on one thread but its faults and counters.
+/// A fake engine; it runs on one thread and shares only its faults and counters with others.
 pub struct FakeEngine {
     options: EngineOptions,
     faults: Arc<EngineFaults>,
@@ -156,8 +157,8 @@
     slots: Rc<Semaphore>,
     running: Rc<Cell<u32>>,
     waiting: Rc<Cell<u32>>,
-    lagged: Cell<(u32, u32)>,
-    lagged_at: Cell<Option<Instant>>,
+    reported_load: Cell<(u32, u32)>,
+    load_reported_at: Cell<Option<Instant>>,
     cache: RefCell<IndexMap<u64, ()>>,
 }
 
@@ -183,8 +184,8 @@
             slots: Rc::new(Semaphore::new(options.slots)),
             running: Rc::default(),
             waiting: Rc::default(),
-            lagged: Cell::default(),
-            lagged_at: Cell::new(None),
+            reported_load: Cell::default(),
+            load_reported_at: Cell::new(None),
             cache: RefCell::default(),
         });
         spawn_server(listener, engine, ServerOptions::default())
@@ -198,12 +199,13 @@
             (None, Some(_)) => "ready",
             (None, None) => "empty",
         };
-        let due = self.lagged_at.get().is_none_or(|at| at.elapsed() >= self.options.report_lag);
-        if due {
-            self.lagged.set((self.running.get(), self.waiting.get()));
-            self.lagged_at.set(Some(Instant::now()));
+        let outdated =
+            self.load_reported_at.get().is_none_or(|at| at.elapsed() >= self.options.report_lag);
+        if outdated {
+            self.reported_load.set((self.running.get(), self.waiting.get()));
+            self.load_reported_at.set(Some(Instant::now()));
         }
-        let (running, waiting) = self.lagged.get();
+        let (running, waiting) = self.reported_load.get();
         StateReply {
             phase,
             identity: loaded.as_ref().map(|loaded| loaded.identity.clone()),
@@ -214,7 +216,7 @@
         }
     }
 
-    fn take_order(self: &Rc<Self>, order: LoadOrder) -> HttpReply {
+    fn accept_order(self: &Rc<Self>, order: LoadOrder) -> HttpReply {
         if self.options.checks_fences && order.fence < self.fence.get() {
             self.counters.rejected_for_fence.fetch_add(1, Ordering::Relaxed);
             return text_reply(StatusCode::CONFLICT, "outdated fencing number\n");
@@ -232,8 +234,8 @@
         let read = actix_rt::task::spawn_blocking(move || std::fs::read(path));
         let read = read.await.expect("the reading task does not panic");
         tokio::time::sleep(self.options.load_time).await;
-        let still_wanted = self.loading.borrow().as_ref() == Some(&order.identity);
-        if !still_wanted {
+        let is_latest_identity = self.loading.borrow().as_ref() == Some(&order.identity);
+        if !is_latest_identity {
             return;
         }
         let failed = self.faults.fail_loads.load(Ordering::Relaxed);
@@ -266,39 +268,39 @@
             return text_reply(StatusCode::SERVICE_UNAVAILABLE, "nothing is loaded\n");
         };
         self.counters.requests.fetch_add(1, Ordering::Relaxed);
-        let prompt = prompt_of(&request);
+        let prompt = prompt_text(&request);
         let offset = header_text(headers, RESUME_HEADER).and_then(|t| t.parse().ok()).unwrap_or(0);
         let id = header_text(headers, REQUEST_ID_HEADER).unwrap_or("none").to_owned();
-        let run = TokenRun {
+        let tokens = TokenStream {
             expected: ExpectedCompletion::new(loaded.digest, &prompt),
             id,
             model: request.model.clone(),
-            at: offset,
+            position: offset,
             end: request.max_tokens,
             slot: SlotGuard::new(&self),
             engine: self.clone(),
             done: false,
         };
         let blocks = self.uncached_blocks(prompt.as_bytes());
-        run.slot.acquire().await;
+        tokens.slot.acquire().await;
         tokio::time::sleep(self.options.prefill_block_time * blocks).await;
         let mut builder = Response::build(StatusCode::OK);
         builder.insert_header((VERSION_HEADER, loaded.identity));
         if request.stream {
             builder.insert_header(("content-type", "text/event-stream"));
-            let events = futures::stream::unfold(run, TokenRun::next_event);
+            let events = futures::stream::unfold(tokens, TokenStream::next_event);
             return builder.body(BodyStream::new(Box::pin(events))).map_into_boxed_body();
         }
-        let text = run.whole_text().await;
+        let text = tokens.full_text().await;
         builder.insert_header(("content-type", "application/json"));
         builder.body(completion_json(&text)).map_into_boxed_body()
     }
 
-    /// Notes the prompt's blocks; returns how many must be computed.
+    /// Caches the prompt's blocks; returns how many were not cached before.
     fn uncached_blocks(&self, prompt: &[u8]) -> u32 {
         let mut cache = self.cache.borrow_mut();
         let mut hasher = blake3::Hasher::new();
-        let mut missing = 0;
+        let mut uncached = 0;
         for block in prompt.chunks(BLOCK_BYTES) {
             hasher.update(block);
             let digest = hasher.finalize();
@@ -307,25 +309,25 @@
                 self.counters.cache_hits.fetch_add(1, Ordering::Relaxed);
             } else {
                 self.counters.cache_misses.fetch_add(1, Ordering::Relaxed);
-                missing += 1;
+                uncached += 1;
             }
             cache.insert(key, ());
             if cache.len() > self.options.cache_capacity_blocks {
                 cache.shift_remove_index(0);
             }
         }
-        missing
+        uncached
     }
 
-    /// Time to the next token with the present batch.
-    fn pace(&self) -> Duration {
-        let busy = f64::from(self.running.get()) / self.options.slots as f64;
+    /// Time to the next token at the current batch size.
+    fn token_delay(&self) -> Duration {
+        let occupancy = f64::from(self.running.get()) / self.options.slots as f64;
         let slowdown = self.faults.slowdown.load(Ordering::Relaxed).max(1) as f64;
-        self.options.token_interval.mul_f64((1.0 + 0.5 * busy) * slowdown)
+        self.options.token_interval.mul_f64((1.0 + 0.5 * occupancy) * slowdown)
     }
 }
 
-fn prompt_of(request: &CompletionRequest) -> String {
+fn prompt_text(request: &CompletionRequest) -> String {
     match (&request.prompt, &request.messages) {
         (Some(prompt), _) => prompt.clone(),
         (None, Some(messages)) => serde_json::to_string(messages).unwrap_or_default(),
@@ -333,12 +335,13 @@
     }
 }
 
-/// A place in the batch, counted for the load report; given back when dropped.
+/// A slot of the batch or a place in the queue for one, counted in the reported load; released when
+/// dropped.
 struct SlotGuard {
     slots: Rc<Semaphore>,
     running: Rc<Cell<u32>>,
     waiting: Rc<Cell<u32>>,
-    held: Cell<bool>,
+    acquired: Cell<bool>,
 }
 
 impl SlotGuard {
@@ -348,14 +351,14 @@
             slots: engine.slots.clone(),
             running: engine.running.clone(),
             waiting: engine.waiting.clone(),
-            held: Cell::new(false),
+            acquired: Cell::new(false),
         }
     }
 
     async fn acquire(&self) {
         let permit = self.slots.acquire().await.expect("the semaphore is never closed");
         permit.forget();
-        self.held.set(true);
+        self.acquired.set(true);
         self.waiting.set(self.waiting.get() - 1);
         self.running.set(self.running.get() + 1);
     }
@@ -363,7 +366,7 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        if self.held.get() {
+        if self.acquired.get() {
             self.slots.add_permits(1);
             self.running.set(self.running.get() - 1);
         } else {
@@ -372,23 +375,23 @@
     }
 }
 
-struct TokenRun {
+struct TokenStream {
     expected: ExpectedCompletion,
     id: String,
     model: String,
-    at: u64,
+    position: u64,
     end: u64,
     slot: SlotGuard,
     engine: Rc<FakeEngine>,
     done: bool,
 }
 
-impl TokenRun {
+impl TokenStream {
     async fn next_event(mut self) -> Option<(io::Result<Bytes>, Self)> {
         if self.done {
             return None;
         }
-        if self.at >= self.end {
+        if self.position >= self.end {
             self.done = true;
             if self.engine.faults.omit_done_event.load(Ordering::Relaxed) {
                 return None;
@@ -396,31 +399,31 @@
             return Some((Ok(Bytes::from_static(b"data: [DONE]\n\n")), self));
         }
         let break_after_tokens = self.engine.faults.break_after_tokens.load(Ordering::Relaxed);
-        if break_after_tokens > 0 && self.at >= break_after_tokens {
+        if break_after_tokens > 0 && self.position >= break_after_tokens {
             self.done = true;
             return Some((Err(io::Error::other("told to break")), self));
         }
-        tokio::time::sleep(self.engine.pace()).await;
-        let choice = serde_json::json!({ "index": 0, "text": self.expected.token(self.at) });
+        tokio::time::sleep(self.engine.token_delay()).await;
+        let choice = serde_json::json!({ "index": 0, "text": self.expected.token(self.position) });
         let event = serde_json::json!({
             "id": self.id, "object": "text_completion", "model": self.model, "choices": [choice],
         });
-        self.at += 1;
+        self.position += 1;
         Some((Ok(Bytes::from(format!("data: {event}\n\n"))), self))
     }
 
-    async fn whole_text(mut self) -> String {
-        let begin = self.at;
-        while self.at < self.end {
-            tokio::time::sleep(self.engine.pace()).await;
-            self.at += 1;
+    async fn full_text(mut self) -> String {
+        let start = self.position;
+        while self.position < self.end {
+            tokio::time::sleep(self.engine.token_delay()).await;
+            self.position += 1;
         }
         self.done = true;
-        (begin..self.end).map(|at| self.expected.token(at)).collect()
+        (start..self.end).map(|position| self.expected.token(position)).collect()
     }
 }
 
-impl Drop for TokenRun {
+impl Drop for TokenStream {
     fn drop(&mut self) {
         if !self.done {
             self.engine.counters.cancelled.fetch_add(1, Ordering::Relaxed);
@@ -446,7 +449,7 @@
                 (&Method::GET, "/engine/state") => json_reply(StatusCode::OK, &self.state()),
                 (&Method::POST, "/engine/orders") => match serde_json::from_slice(&body) {
                     Ok(order) => {
-                        let reply = self.take_order(order);
+                        let reply = self.accept_order(order);
                         if self.faults.lose_order_replies.load(Ordering::Relaxed) {
                             std::future::pending::<()>().await;
                         }
--- a/crates/fakes/src/origin.rs
+++ b/crates/fakes/src/origin.rs
@@ -1,4 +1,5 @@
-//! An origin or store of weights: manifests, range_requests, a throttled link, a limit on requests.
+//! A fake origin or weight store: serves manifests and byte ranges, with a throttled link and a
+//! limited request rate.
 
 use actix_http::{
     HttpMessage, Method, Request, Response, StatusCode, body::SizedStream, header::HeaderMap,
@@ -23,35 +24,35 @@
 };
 use tokio::time::Instant;
 
-/// Bytes sent at a time.
+/// Most bytes sent at a time.
 const PIECE_BYTES: usize = 32 * 1024;
 
-/// How a fake origin behaves.
+/// Limits of a fake origin.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OriginOptions {
-    /// Its link's rate; none for no limit.
+    /// Rate of its link; `None` for no limit.
     pub bytes_per_second: Option<u64>,
-    /// Requests a second beyond which it answers 429; none for no limit.
+    /// Requests per second beyond which it responds with 429; `None` for no limit.
     pub requests_per_second: Option<u32>,
 }
 
-/// Misbehaviour that can be switched on from another thread.
+/// Faults that can be switched on from another thread.
 #[derive(Debug, Default)]
 pub struct OriginFaults {
-    /// Answers 503 to everything.
+    /// Responds with 502 to every request.
     pub down: AtomicBool,
-    /// One in so many range_requests carries a flipped byte; 0 means none.
+    /// One in this many ranges has its first byte inverted; 0 means none.
     pub corrupt_one_in: AtomicU64,
 }
 
-/// What a fake origin has done.
+/// Counters of a fake origin.
 #[derive(Debug, Default)]
 pub struct OriginCounters {
     /// Bytes of weights sent.
     pub bytes_sent: AtomicU64,
-    /// Ranges asked for.
+    /// Range requests that were served.
     pub range_requests: AtomicU64,
-    /// Requests refused for their rate.
+    /// Requests rejected by the rate limit.
     pub rate_limited: AtomicU64,
 }
 
@@ -60,18 +61,18 @@
     data: Bytes,
 }
 
-/// Published versions, shared with whoever publishes more.
+/// A fake origin; its clones share the published versions, faults, and counters.
 #[derive(Clone, Default)]
 pub struct FakeOrigin {
     versions: Arc<Mutex<IndexMap<String, Arc<PublishedVersion>>>>,
-    /// Misbehaviour.
+    /// Faults to inject.
     pub faults: Arc<OriginFaults>,
-    /// What was done.
+    /// Counters of all servers that were started.
     pub counters: Arc<OriginCounters>,
 }
 
 impl FakeOrigin {
-    /// Publishes a version under its manifest's name, replacing what was there.
+    /// Publishes a version under the model and version of its manifest; replaces an earlier one.
     pub fn publish(&self, manifest: &WeightManifest, data: Vec<u8>) {
         let path = format!("{}/{}", manifest.model(), manifest.version());
         let version = PublishedVersion { manifest: manifest.clone(), data: Bytes::from(data) };
@@ -86,7 +87,7 @@
     pub fn start(&self, options: OriginOptions, listener: TcpListener) -> io::Result<ServerHandle> {
         let handler = OriginHandler {
             origin: self.clone(),
-            budget: Rc::new(LinkPacer::new(options.bytes_per_second)),
+            pacer: Rc::new(LinkPacer::new(options.bytes_per_second)),
             options,
             window_start: Cell::new(Instant::now()),
             window_count: Cell::new(0),
@@ -97,14 +98,14 @@
 
 struct OriginHandler {
     origin: FakeOrigin,
-    budget: Rc<LinkPacer>,
+    pacer: Rc<LinkPacer>,
     options: OriginOptions,
     window_start: Cell<Instant>,
     window_count: Cell<u32>,
 }
 
 impl OriginHandler {
-    fn answer(&self, request: &Request) -> HttpReply {
+    fn respond(&self, request: &Request) -> HttpReply {
         let counters = &self.origin.counters;
         if self.origin.faults.down.load(Ordering::Relaxed) {
             return text_reply(StatusCode::BAD_GATEWAY, "down\n");
@@ -117,7 +118,7 @@
             return reply;
         }
         let parts: Vec<&str> = request.path().split('/').skip(1).collect();
-        let (["weights", model, version, what], &Method::GET) =
+        let (["weights", model, version, resource], &Method::GET) =
             (parts.as_slice(), request.method())
         else {
             return text_reply(StatusCode::NOT_FOUND, "no such path\n");
@@ -127,7 +128,7 @@
         let Some(found) = found else {
             return text_reply(StatusCode::NOT_FOUND, "no such version\n");
         };
-        match *what {
+        match *resource {
             "manifest" => json_reply(StatusCode::OK, found.manifest.raw()),
             "data" => self.send_range(&found, request.headers()),
             _ => text_reply(StatusCode::NOT_FOUND, "no such path\n"),
@@ -152,20 +153,17 @@
         if last < first || last >= version.data.len() {
             return text_reply(StatusCode::RANGE_NOT_SATISFIABLE, "out of range\n");
         }
-        let number = self.origin.counters.range_requests.fetch_add(1, Ordering::Relaxed) + 1;
+        let range_number = self.origin.counters.range_requests.fetch_add(1, Ordering::Relaxed) + 1;
         let mut data = version.data.slice(first..=last);
         let one_in = self.origin.faults.corrupt_one_in.load(Ordering::Relaxed);
-        if one_in > 0 && number.is_multiple_of(one_in) {
+        if one_in > 0 && range_number.is_multiple_of(one_in) {
             let mut copy = data.to_vec();
             copy[0] ^= 0xff;
             data = Bytes::from(copy);
         }
         let length = data.len() as u64;
-        let sender = RangeSender {
-            budget: self.budget.clone(),
-            counters: self.origin.counters.clone(),
-            data,
-        };
+        let sender =
+            RangeSender { pacer: self.pacer.clone(), counters: self.origin.counters.clone(), data };
         let pieces = futures::stream::unfold(sender, RangeSender::next);
         let mut builder = Response::build(StatusCode::PARTIAL_CONTENT);
         let total = version.data.len();
@@ -175,7 +173,7 @@
 }
 
 struct RangeSender {
-    budget: Rc<LinkPacer>,
+    pacer: Rc<LinkPacer>,
     counters: Arc<OriginCounters>,
     data: Bytes,
 }
@@ -186,7 +184,7 @@
             return None;
         }
         let piece = self.data.split_to(self.data.len().min(PIECE_BYTES));
-        self.budget.acquire(piece.len()).await;
+        self.pacer.acquire(piece.len()).await;
         self.counters.bytes_sent.fetch_add(piece.len() as u64, Ordering::Relaxed);
         Some((Ok(piece), self))
     }
@@ -199,6 +197,6 @@
 
 impl HttpHandler for OriginHandler {
     fn handle(self: Rc<Self>, request: Request) -> LocalBoxFuture<'static, HttpReply> {
-        Box::pin(async move { self.answer(&request) })
+        Box::pin(async move { self.respond(&request) })
     }
 }
--- a/crates/fakes/src/relay.rs
+++ b/crates/fakes/src/relay.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that can be made to misbehave: cut silently, frozen, or damaging.
+//! A TCP relay between two processes that can freeze, as in a silent partition, or corrupt data.
 
 use std::{
     io,
@@ -18,21 +18,21 @@
     },
 };
 
-/// Bytes passed on at a time.
+/// Most bytes forwarded at a time.
 const PIECE_BYTES: usize = 32 * 1024;
 /// Smallest piece that is corrupted: heads of messages are smaller, chunks of weights larger.
-const DAMAGED_PIECE_BYTES: usize = 8 * 1024;
-/// How often a frozen link looks whether it may go on.
-const FROZEN_POLL: Duration = Duration::from_millis(20);
+const MIN_CORRUPTED_PIECE_BYTES: usize = 8 * 1024;
+/// Interval at which a frozen connection checks whether it may continue.
+const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Misbehaviour that can be switched on from another thread.
+/// Faults that can be switched on from another thread.
 #[derive(Debug, Default)]
 pub struct RelayFaults {
-    /// Nothing passes and nothing is closed, as behind a silent partition; bytes wait.
+    /// No data is forwarded and no connection is closed, as in a silent partition; data waits.
     pub frozen: AtomicBool,
-    /// One in so many large pieces arrives with a flipped byte; 0 means none.
+    /// One in this many large pieces has its last byte inverted; 0 means none.
     pub corrupt_one_in: AtomicU64,
-    /// Large pieces seen.
+    /// Large pieces forwarded while `corrupt_one_in` was not 0.
     pieces: AtomicU64,
     /// Large pieces corrupted.
     pub corrupted: AtomicU64,
@@ -42,7 +42,7 @@
 pub struct FakeRelay;
 
 impl FakeRelay {
-    /// Passes everything that arrives at `listener` on to `upstream`.
+    /// Relays connections from `listener` to `upstream`, in both directions.
     ///
     /// # Errors
     /// Fails if the listener cannot be used.
@@ -56,32 +56,32 @@
         let upstream = Rc::new(upstream);
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                actix_rt::spawn(join(stream, upstream.clone(), faults.clone()));
+                actix_rt::spawn(relay_connection(stream, upstream.clone(), faults.clone()));
             }
         });
         Ok(Self)
     }
 }
 
-async fn join(near: TcpStream, upstream: Rc<String>, faults: Arc<RelayFaults>) {
+async fn relay_connection(client: TcpStream, upstream: Rc<String>, faults: Arc<RelayFaults>) {
     wait_while_frozen(&faults).await;
-    let Ok(far) = TcpStream::connect(upstream.as_str()).await else { return };
-    near.set_nodelay(true).ok();
-    far.set_nodelay(true).ok();
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    actix_rt::spawn(pass_on(near_read, far_write, faults.clone()));
-    pass_on(far_read, near_write, faults).await;
+    let Ok(server) = TcpStream::connect(upstream.as_str()).await else { return };
+    client.set_nodelay(true).ok();
+    server.set_nodelay(true).ok();
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    actix_rt::spawn(forward(client_read, server_write, faults.clone()));
+    forward(server_read, client_write, faults).await;
 }
 
-async fn pass_on(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, faults: Arc<RelayFaults>) {
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, faults: Arc<RelayFaults>) {
     let mut buffer = vec![0; PIECE_BYTES];
     while let Ok(length) = from.read(&mut buffer).await {
         if length == 0 {
             break;
         }
         wait_while_frozen(&faults).await;
-        damage(&mut buffer[..length], &faults);
+        corrupt(&mut buffer[..length], &faults);
         if to.write_all(&buffer[..length]).await.is_err() {
             break;
         }
@@ -89,13 +89,13 @@
     to.shutdown().await.ok();
 }
 
-fn damage(piece: &mut [u8], faults: &RelayFaults) {
+fn corrupt(piece: &mut [u8], faults: &RelayFaults) {
     let one_in = faults.corrupt_one_in.load(Ordering::Relaxed);
-    if one_in == 0 || piece.len() < DAMAGED_PIECE_BYTES {
+    if one_in == 0 || piece.len() < MIN_CORRUPTED_PIECE_BYTES {
         return;
     }
-    let number = faults.pieces.fetch_add(1, Ordering::Relaxed) + 1;
-    if number.is_multiple_of(one_in) {
+    let piece_number = faults.pieces.fetch_add(1, Ordering::Relaxed) + 1;
+    if piece_number.is_multiple_of(one_in) {
         faults.corrupted.fetch_add(1, Ordering::Relaxed);
         let last = piece.len() - 1;
         piece[last] ^= 0xff;
@@ -104,6 +104,6 @@
 
 async fn wait_while_frozen(faults: &RelayFaults) {
     while faults.frozen.load(Ordering::Relaxed) {
-        tokio::time::sleep(FROZEN_POLL).await;
+        tokio::time::sleep(FROZEN_POLL_INTERVAL).await;
     }
 }
