--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests, one module a subject.
+//! Integration tests, one module per subject.
 
 mod attempt_limits;
 mod bad_input;
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! A small cluster on loopback for tests of failures, and callers that check every answer.
+//! A small cluster on the loopback interface, and callers that verify every response.
 
 use egretseam_catalog::{CatalogCommand, ConfigEdit, EditRequest, OrganisationSpec, ProfileSpec};
 use egretseam_fakes::EngineOptions;
@@ -8,29 +8,29 @@
 use egretseam_proto::{ChunkDigest, GroupName, OperationId, OrganisationName, Revision};
 use std::{sync::Arc, time::Duration};
 
-/// How long anything may take that is waited for; far above what it takes.
+/// Timeout of every wait; far above the time that the awaited events take.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// The test organisation's API key.
 pub(crate) const API_KEY: &str = "test-organisation-key";
 /// Size of a test version in bytes.
 pub(crate) const MODEL_BYTES: usize = 1024 * 1024;
-/// Size of a chunk of it.
+/// Size of a chunk of a test version in bytes.
 pub(crate) const CHUNK_BYTES: u32 = 64 * 1024;
 
-/// A cluster with one organisation, a bound model service and a bound plain service.
+/// A cluster with one organisation, and a model service and a plain service bound to profiles.
 pub(crate) struct TestCluster {
     pub(crate) cluster: LocalCluster,
     pub(crate) model: PublishedModel,
     pub(crate) revision: Revision,
 }
 
-/// Options for a cluster of this many model and plain targets.
+/// Options for a cluster with the given numbers of model targets and plain targets.
 pub(crate) fn cluster_options(model_agents: usize, plain_agents: usize) -> ClusterOptions {
     let engine = EngineOptions { load_time: Duration::from_millis(20), ..EngineOptions::default() };
     ClusterOptions { model_agents, plain_agents, engine, ..ClusterOptions::default() }
 }
 
-/// A profile that names a version for the model targets.
+/// A profile that makes the model targets serve `model`.
 pub(crate) fn model_profile(model: &PublishedModel) -> ProfileSpec {
     ProfileSpec {
         group: GroupName::try_from("runners").expect("a valid name"),
@@ -44,7 +44,7 @@
 }
 
 impl TestCluster {
-    /// Starts a cluster and waits until everything serves.
+    /// Starts a cluster and waits until all its targets serve.
     pub(crate) fn start(options: ClusterOptions) -> Self {
         let cluster = LocalCluster::start(options).expect("the cluster starts");
         let model = cluster.publish("model", "v1", 1, MODEL_BYTES, CHUNK_BYTES).expect("published");
@@ -67,13 +67,13 @@
         test
     }
 
-    /// Waits until so many model targets serve a version.
+    /// Waits until `count` model targets serve the version.
     pub(crate) fn wait_serving(&self, manifest: egretseam_proto::ManifestId, count: usize) {
         let waited = self.cluster.wait_replicas("runners", Some(manifest), count, WAIT_TIMEOUT);
         waited.expect("model targets serve");
     }
 
-    /// Books one order through the given address.
+    /// Books one order through the entry at `address`.
     pub(crate) fn book(&self, address: &str, id: &str) -> CallOutcome {
         let (address, ledger) = (address.to_owned(), self.cluster.ledger.clone());
         let id = id.to_owned();
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Asks for one streamed answer.
+    /// Requests one streamed completion and checks its text against `versions`.
     pub(crate) fn stream(
         &self,
         prompt: &str,
@@ -104,7 +104,7 @@
     actix_rt::System::new().block_on(future)
 }
 
-/// A change that an operator could make: sets organisation `org-<number>`.
+/// An operator's edit that sets organisation `org-<number>`.
 pub(crate) fn organisation_edit(number: u64) -> CatalogCommand {
     let name = OrganisationName::try_from(format!("org-{number}")).expect("a valid name");
     let spec = OrganisationSpec { weight: 1, key_digests: vec![ChunkDigest::of(b"key")] };
