--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -4,7 +4,9 @@
 use actix_http::{Response, StatusCode, header::HeaderMap};
 use awc::ClientResponse;
 use bytes::Bytes;
-use egretseam_http::{HttpReply, forwarded_headers, header_text, reported_failure, send_failure};
+use egretseam_http::{
+    HttpReply, classify_send_error, failure_from_headers, forwarded_headers, header_text,
+};
 use egretseam_proto::{
     DEADLINE_HEADER, FailureReport, IDEMPOTENCY_HEADER, INCARNATION_HEADER, KEY_REFUSED_HEADER,
     ORGANISATION_HEADER, REQUEST_ID_HEADER, RESUME_HEADER, REVISION_HEADER, RefusalReason,
@@ -103,8 +105,8 @@
     }
     let response = outgoing.send_body(request.body.clone()).await;
     let response =
-        response.map_err(|error| AttemptFailure::key_not_rejected(send_failure(&error)))?;
-    match reported_failure(response.headers()) {
+        response.map_err(|error| AttemptFailure::key_not_rejected(classify_send_error(&error)))?;
+    match failure_from_headers(response.headers()) {
         None => Ok(response),
         Some(report) => {
             let key_rejected = header_text(response.headers(), KEY_REFUSED_HEADER).is_some();
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -77,7 +77,7 @@
     let read = response.connection.read_body(reader, MAX_BUFFERED_RESPONSE_BYTES);
     let body = tokio::select! {
         body = tokio::time::timeout_at(request.deadline, read) => body,
-        () = caller.closed(MAX_PIPELINED_BYTES) => return RelayOutcome::CallerLeft,
+        () = caller.wait_for_close(MAX_PIPELINED_BYTES) => return RelayOutcome::CallerLeft,
     };
     let body = match body {
         Ok(Ok(body)) => body,
@@ -160,7 +160,7 @@
     let next = reader.next(&mut response.connection);
     let chunk = tokio::select! {
         chunk = tokio::time::timeout_at(read_deadline, next) => chunk,
-        () = caller.closed(MAX_PIPELINED_BYTES) => return Err(RelayOutcome::CallerLeft),
+        () = caller.wait_for_close(MAX_PIPELINED_BYTES) => return Err(RelayOutcome::CallerLeft),
     };
     match chunk {
         Ok(Ok(chunk)) => Ok(chunk),
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,10 @@
-//! What every daemon of ours needs around its HTTP listeners: an accept loop on the daemon's own
-//! thread, limits on bodies and connections, problem documents (RFC 9457) that carry the verdict,
-//! token checks in constant time, and the metrics registry behind `/metrics`.
+//! HTTP server and client support shared by the daemons: an accept loop on the daemon's own thread,
+//! limits on bodies and connections, problem documents (RFC 9457) with the verdict, token checks in
+//! constant time, and the metrics registry behind `/metrics`.
 //!
-//! `actix-server` is not used: it moves connections to worker threads, and a daemon of ours is one
-//! thread that owns its tables without locks. The HTTP itself is `actix-http` and `awc`.
+//! HTTP itself is implemented by `actix-http` and `awc`. `actix-server` is not used: it moves
+//! connections to worker threads, whereas a daemon is a single thread that owns its tables without
+//! locks.
 
 mod body;
 mod client;
@@ -15,10 +16,10 @@
 
 pub use crate::{
     body::{read_body, read_json},
-    client::{ClientOptions, check_framing, http_client, send_failure},
+    client::{ClientOptions, check_framing, classify_send_error, http_client},
     headers::{forwarded_headers, header_text},
     metrics::DaemonMetrics,
-    reply::{failure_reply, json_reply, reported_failure, text_reply},
+    reply::{failure_from_headers, failure_reply, json_reply, text_reply},
     server::{HttpHandler, HttpReply, ServerHandle, ServerOptions, spawn_server},
     token::{SecretToken, TokenError, bearer_token},
 };
