--- a/crates/local/src/cluster/setup.rs
+++ b/crates/local/src/cluster/setup.rs
@@ -1,7 +1,7 @@
-//! Starting the parts of a cluster in order.
+//! Starting control members, entries, agents and targets.
 
 use super::{
-    LocalAgent, LocalCluster, LocalDaemon, STEP_LIMIT,
+    LocalAgent, LocalCluster, LocalDaemon, STEP_TIMEOUT,
     parts::{BoundPorts, block_on, spawn_daemon, start_relay},
 };
 use crate::system_thread::SystemThread;
@@ -55,14 +55,15 @@
         Ok(())
     }
 
-    /// Makes one step of membership, again and again until it is taken.
+    /// Requests one membership change of the control group through control member 0, and retries
+    /// until it is accepted.
     ///
     /// # Errors
-    /// Fails if it is not taken in time.
+    /// Fails if it is not accepted in time.
     pub fn change_members(&self, change: MembershipChange) -> anyhow::Result<()> {
         let (address, token) =
             (self.control[0].operator_address.clone(), self.tokens.operator.clone());
-        self.wait_until("a step of membership", STEP_LIMIT, || {
+        self.wait_until("the membership change", STEP_TIMEOUT, || {
             let (address, token, change) = (address.clone(), token.clone(), change.clone());
             block_on(async move {
                 let client = OperatorClient::new(&address, token, "local");
@@ -99,9 +100,9 @@
         Ok(())
     }
 
-    pub(super) fn wait_ready(&self) -> anyhow::Result<()> {
+    pub(super) fn wait_for_entries(&self) -> anyhow::Result<()> {
         let expected = self.options.entries;
-        self.wait_until("entries to be announced", STEP_LIMIT, || {
+        self.wait_until("the configuration to list all entries", STEP_TIMEOUT, || {
             Ok(self.config()?.entries.len() == expected)
         })
     }
@@ -132,10 +133,10 @@
             "switch_limit_millis": 60_000,
             "distribution": self.options.distribution,
         });
-        let chunk_link = Arc::new(RelayFaults::default());
+        let chunk_link_faults = Arc::new(RelayFaults::default());
         let mut relay = None;
         if self.options.chunk_relays {
-            let (thread, address) = start_relay(name, &addresses[2], chunk_link.clone())?;
+            let (thread, address) = start_relay(name, &addresses[2], chunk_link_faults.clone())?;
             agent["advertised_chunk_address"] = json!(address);
             relay = Some(thread);
         }
@@ -157,7 +158,7 @@
             zone: self.zone(number),
             faults,
             counters,
-            chunk_link,
+            chunk_link_faults,
             target_address,
             operator_address: addresses[0].clone(),
             settings,
@@ -169,7 +170,7 @@
         Ok(())
     }
 
-    /// Folder of an agent's weights.
+    /// Weights folder of an agent.
     pub fn weights_folder(&self, name: &str) -> PathBuf {
         self.folder.path().join("weights").join(name)
     }
@@ -184,7 +185,7 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?.to_string();
         let (options, ledger, work) =
-            (self.options.engine, self.ledger.clone(), self.options.plain_work);
+            (self.options.engine, self.ledger.clone(), self.options.booking_delay);
         let thread = SystemThread::spawn(&format!("{name}-target"), move || {
             Ok(if is_model {
                 FakeEngine::start(options, faults, counters, listener)?
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -197,7 +197,7 @@
         block_on(async move {
             // Shorter than the default, because the address of a frozen instance is still listed.
             let caller = CallerClient::new(&seeds, API_KEY, Arc::new(CallerCounts::default()));
-            let caller = caller.with_call_limit(Duration::from_secs(3));
+            let caller = caller.with_attempt_timeout(Duration::from_secs(3));
             caller.book("orders", &id, &ledger).await
         })
     }
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -62,14 +62,14 @@
         test.wait_serving(test.model.manifest, test.cluster.options().model_agents);
         let plain = test.cluster.options().plain_agents;
         test.cluster
-            .wait_replicas("plain", None, plain, WAIT_TIMEOUT)
+            .wait_for_replicas("plain", None, plain, WAIT_TIMEOUT)
             .expect("plain targets serve");
         test
     }
 
     /// Waits until `count` model targets serve the version.
     pub(crate) fn wait_serving(&self, manifest: egretseam_proto::ManifestId, count: usize) {
-        let waited = self.cluster.wait_replicas("runners", Some(manifest), count, WAIT_TIMEOUT);
+        let waited = self.cluster.wait_for_replicas("runners", Some(manifest), count, WAIT_TIMEOUT);
         waited.expect("model targets serve");
     }
 
