--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -248,7 +248,10 @@
         let steps = delay.unwrap_or_default().as_secs_f64() / LINK_DELAY_STEP.as_secs_f64();
         let rounded = LINK_DELAY_STEP.mul_f64(steps.ceil());
         if self.reported_delay.replace(rounded) != rounded {
-            tracing::info!(delay_millis = rounded.as_millis() as u64, "the own link's delay");
+            tracing::info!(
+                delay_millis = rounded.as_millis() as u64,
+                "the delay of this instance's link changed"
+            );
             self.report_due.notify_one();
         }
     }
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -267,7 +267,11 @@
     /// Records whether the origin replied; logs when it becomes unreachable and reachable again.
     fn record_origin_reply(&self, answers: bool) {
         if self.shared.origin_unreachable.replace(!answers) == answers {
-            tracing::info!(answers, version = self.key.version, "the origin of weights");
+            tracing::info!(
+                answers,
+                version = self.key.version,
+                "the origin of weights stopped or resumed responding"
+            );
         }
     }
 
