--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -31,14 +31,14 @@
 /// long, which must end well before a stopping process exits.
 const ADDRESS_LIFETIME: Duration = Duration::from_secs(1);
 /// How long callers may cache the response to an address lookup by an entry of another availability
-/// zone. Before each such lookup callers wait 2 s in vain for the entries of their own zone, which is
-/// a smaller share of 4 s than of 1 s.
+/// zone. Before each such lookup callers wait 2 s in vain for the entries of their own zone, which
+/// is a smaller share of 4 s than of 1 s.
 const CROSS_ZONE_ADDRESS_LIFETIME: Duration = Duration::from_secs(4);
 /// How long before the end of the staleness bound requests stop going to targets with an older
 /// version, in addition to their wait in an engine: covers the time in flight.
 const STALENESS_MARGIN: Duration = Duration::from_millis(600);
-/// Number of log entries after which a snapshot is taken. A configuration has up to 100 KiB, so this
-/// bounds the memory of the log to a few MiB.
+/// Number of log entries after which a snapshot is taken. A configuration has up to 100 KiB, so
+/// this bounds the memory of the log to a few MiB.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 24;
 /// Time without an answer after which a control member is replaced: longer than a killed process
 /// takes to restart, shorter than the time until the platform may stop the next member.
@@ -50,10 +50,10 @@
 /// limit, chunks queue ahead of the events of live responses on the same slow link, which pauses
 /// streams for up to 1.4 s while weights are distributed.
 const UPLOAD_SHARE: f64 = 0.85;
-/// Most agents that fetch a version from the origin: enough to keep the origin's link busy while one
-/// of them hangs. Chunks first leave the seeders over the seeders' own links: with 12 instead of 6
-/// seeders among 24 agents, the last agent has all chunks 4.3 s instead of 4.9 s after publication
-/// (one run each).
+/// Most agents that fetch a version from the origin: enough to keep the origin's link busy while
+/// one of them hangs. Chunks first leave the seeders over the seeders' own links: with 12 instead
+/// of 6 seeders among 24 agents, the last agent has all chunks 4.3 s instead of 4.9 s after
+/// publication (one run each).
 const MAX_SEEDERS: usize = 12;
 /// How long an agent waits for a chunk to appear in its own availability zone before it fetches it
 /// from another. Without this delay, all agents of a zone fetch over an inter-region link that live
@@ -61,8 +61,8 @@
 const CROSS_ZONE_DELAY: Duration = Duration::from_millis(1_200);
 /// Most chunks that an agent fetches from peers at a time; their bytes may queue ahead of a request
 /// on the link. Each fetch waits for its turn on the peer's link, so with fewer fetches links are
-/// idle in between: with 5 instead of 3, the last of 24 agents has all chunks 4.9 s instead of 5.4 s
-/// after publication.
+/// idle in between: with 5 instead of 3, the last of 24 agents has all chunks 4.9 s instead of
+/// 5.4 s after publication.
 const MAX_PEER_FETCHES: usize = 5;
 
 /// HTTP dialects of a platform.
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -1,4 +1,5 @@
-//! Starts the roles of a process in the order of their dependencies and stops them in reverse order.
+//! Starts the roles of a process in the order of their dependencies and stops them in reverse
+//! order.
 
 use anyhow::Context;
 use egretseam_agent::{AgentListeners, AgentOptions, AgentRuntime, AgentShared, TargetKind};
@@ -58,9 +59,9 @@
         Self::bind_from(settings, &mut Vec::new())
     }
 
-    /// As [`DaemonListeners::bind`], but takes the listeners that are already bound to an address of
-    /// the settings from `bound`. For ports chosen by the operating system: if such a port is closed
-    /// and bound again, another process may bind it in between.
+    /// As [`DaemonListeners::bind`], but takes the listeners that are already bound to an address
+    /// of the settings from `bound`. For ports chosen by the operating system: if such a port is
+    /// closed and bound again, another process may bind it in between.
     ///
     /// # Errors
     /// States which address could not be bound.
@@ -189,8 +190,8 @@
         &self.metrics
     }
 
-    /// Stops gracefully: the agent, then the entry finish their requests in progress, each for up to
-    /// the stop timeout. The control member stops last of the roles because both still need it.
+    /// Stops gracefully: the agent, then the entry finish their requests in progress, each for up
+    /// to the stop timeout. The control member stops last of the roles because both still need it.
     pub async fn stop(self) {
         let timeout = self.stop_timeout;
         if let Some(agent) = self.agent
--- a/crates/daemon/src/thread.rs
+++ b/crates/daemon/src/thread.rs
@@ -60,7 +60,8 @@
         self.end(StopKind::Graceful);
     }
 
-    /// Requests a graceful stop without waiting; the returned thread ends when the daemon has stopped.
+    /// Requests a graceful stop without waiting; the returned thread ends when the daemon has
+    /// stopped.
     pub fn begin_stop(mut self) -> Option<JoinHandle<()>> {
         if let Some(stop) = self.stop.take() {
             stop.send(StopKind::Graceful).ok();
--- a/crates/replica/src/node/election.rs
+++ b/crates/replica/src/node/election.rs
@@ -1,4 +1,5 @@
-//! Elections: a pre-vote that changes no member's term, then a vote that is synced before it is sent.
+//! Elections: a pre-vote that changes no member's term, then a vote that is synced before it is
+//! sent.
 
 use super::{ReplicaNode, Role};
 use crate::{
--- a/crates/stager/src/shared.rs
+++ b/crates/stager/src/shared.rs
@@ -144,7 +144,8 @@
     pub(crate) started_at: Instant,
     /// Whether the next digest list must come from the origin, because the last one was wrong.
     pub(crate) requires_origin_digests: Cell<bool>,
-    /// Whether the engine lacks the version that it is to load, and no chunks of it arrive any more.
+    /// Whether the engine lacks the version that it is to load, and no chunks of it arrive any
+    /// more.
     stalled: Cell<bool>,
     /// Round-trip times to other agents, from which a slow link of this instance is detected.
     pub(crate) path: RefCell<PathProbe>,
--- a/crates/testkit/src/group.rs
+++ b/crates/testkit/src/group.rs
@@ -332,8 +332,8 @@
         }
     }
 
-    /// Outcome of a read: `None` while it is pending, `Some(None)` if it was dropped, else the index
-    /// at which it was confirmed.
+    /// Outcome of a read: `None` while it is pending, `Some(None)` if it was dropped, else the
+    /// index at which it was confirmed.
     pub fn read_result(&self, token: u64) -> Option<Option<LogIndex>> {
         self.reads.get(&token).and_then(|(_, result)| *result)
     }
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -27,8 +27,8 @@
     pub const FAILED: u8 = 1;
     /// The command line could not be parsed (set by the argument parser).
     pub const USAGE: u8 = 2;
-    /// Rejected, and a retry does not help: a rule is violated, the item does not exist, or the token
-    /// is wrong.
+    /// Rejected, and a retry does not help: a rule is violated, the item does not exist, or the
+    /// token is wrong.
     pub const REJECTED: u8 = 3;
     /// The item was changed meanwhile.
     pub const CONFLICT: u8 = 4;
@@ -36,8 +36,8 @@
     pub const UNKNOWN: u8 = 5;
     /// Not executed, for example because there is no quorum; may be retried.
     pub const UNAVAILABLE: u8 = 6;
-    /// The drill found requests with a wrong, truncated or missing response, that were executed twice,
-    /// or that got a false verdict.
+    /// The drill found requests with a wrong, truncated or missing response, that were executed
+    /// twice, or that got a false verdict.
     pub const DRILL_FAILED: u8 = 7;
 }
 
--- a/src/commands/init.rs
+++ b/src/commands/init.rs
@@ -8,9 +8,9 @@
 
 /// Initialise the data folder of a control member.
 ///
-/// Use `--founding` for exactly one member, once; all others use `--joining` and are then added with
-/// `members add`. A member that lost its disk joins under a new identity: it must not vote under its
-/// previous one, as it no longer knows the votes it gave.
+/// Use `--founding` for exactly one member, once; all others use `--joining` and are then added
+/// with `members add`. A member that lost its disk joins under a new identity: it must not vote
+/// under its previous one, as it no longer knows the votes it gave.
 #[derive(Args, Debug)]
 pub(super) struct InitCommand {
     /// Settings file with a control section.
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -60,8 +60,8 @@
 }
 
 impl Deployment {
-    /// Starts three instances with a control member and an entry, and one with an agent in front of a
-    /// plain service.
+    /// Starts three instances with a control member and an entry, and one with an agent in front of
+    /// a plain service.
     fn start() -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         fs::write(folder.path().join("peer.token"), "peer-token-0123456789").expect("written");
@@ -225,9 +225,10 @@
     format!("members {verb} {lost}{rest}")
 }
 
-/// Freezes the leader's process, loses an instance with its disk and replaces it, then kills another,
-/// with bookings in between. Guards against lost changes that an operator saw committed, bookings that
-/// are executed twice, and a group that fails at the next loss after a member was replaced.
+/// Freezes the leader's process, loses an instance with its disk and replaces it, then kills
+/// another, with bookings in between. Guards against lost changes that an operator saw committed,
+/// bookings that are executed twice, and a group that fails at the next loss after a member was
+/// replaced.
 #[test]
 fn processes_are_frozen_killed_lost_and_replaced() {
     let mut deployment = Deployment::start();
@@ -285,9 +286,9 @@
     }
 }
 
-/// Sends SIGTERM to an instance while callers book through all entries. The instance leaves the list
-/// of addresses, finishes its requests in progress and exits with success. No request gets a wrong,
-/// missing or truncated response or a false verdict.
+/// Sends SIGTERM to an instance while callers book through all entries. The instance leaves the
+/// list of addresses, finishes its requests in progress and exits with success. No request gets a
+/// wrong, missing or truncated response or a false verdict.
 #[test]
 fn a_terminated_instance_finishes_and_exits() {
     let mut deployment = Deployment::start();
--- a/tests/all/serving_documents.rs
+++ b/tests/all/serving_documents.rs
@@ -215,8 +215,9 @@
     }
 
     /// Guards against an entry that reverts to replaced routes. Three members have applied
-    /// different versions, and their replies arrive in any order. The entry's version never decreases, its
-    /// configuration is that of its version, and final requests bring it to the newest.
+    /// different versions, and their replies arrive in any order. The entry's version never
+    /// decreases, its configuration is that of its version, and final requests bring it to the
+    /// newest.
     #[test]
     fn versions_only_grow_in_any_order_of_arrival(
         requests in proptest::collection::vec(feed_request(), 1..30),
@@ -305,7 +306,8 @@
 }
 
 /// Guards against pauses of more than 0.2 s in a third of all streams while operators change a
-/// large configuration a dozen times: the streams' events queue behind it on the links between regions.
+/// large configuration a dozen times: the streams' events queue behind it on the links between
+/// regions.
 #[test]
 fn events_do_not_queue_behind_frequent_changes() {
     let documents: Vec<Vec<u8>> = (1..=13)
