--- a/crates/agent/src/runtime.rs
+++ b/crates/agent/src/runtime.rs
@@ -66,8 +66,8 @@
     pub entries: Vec<String>,
     /// Most entries that this agent reports to.
     pub report_fanout: usize,
-    /// How long an entry may hold back its reply to a report while there is no news for the agent.
-    /// Without news, this is the interval between reports.
+    /// How long an entry may hold back its reply to a report while it has no newer configuration
+    /// for the agent. Without a newer one, this is the interval between reports.
     pub report_wait: Duration,
     /// `host:port` that entries send requests to.
     pub gate_address: String,
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -31,8 +31,8 @@
 /// long, which must end well before a stopping process exits.
 const ADDRESS_LIFETIME: Duration = Duration::from_secs(1);
 /// How long callers may cache the response to an address lookup by an entry of another availability
-/// zone. Before each such lookup callers wait 2 s in vain for the entries of their own zone, which
-/// is a smaller share of 4 s than of 1 s.
+/// zone. Before each such lookup callers wait 2 s for the entries of their own zone and get no
+/// response; these 2 s are a smaller share of 4 s than of 1 s.
 const CROSS_ZONE_ADDRESS_LIFETIME: Duration = Duration::from_secs(4);
 /// How long before the end of the staleness bound requests stop going to targets with an older
 /// version, in addition to their wait in an engine: covers the time in flight.
--- a/crates/replica/src/node.rs
+++ b/crates/replica/src/node.rs
@@ -173,8 +173,8 @@
     /// Without it, after a restart of all members, the applied entries are on their disks, but no
     /// member knows that they are committed until a leader is elected. The processes that watch the
     /// members would have no configuration for the duration of the election. Entries up to a
-    /// written commit index stay committed, so a member may deliver them before it hears from a
-    /// leader.
+    /// written commit index stay committed, so a member may deliver them before it receives a
+    /// message from a leader.
     fn write_commit_index(&mut self) {
         if self.commit_index > self.written_commit_index {
             self.written_commit_index = self.commit_index;
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -22,7 +22,7 @@
 /// Load assumed at a target without a sample, as a fraction of the mean load.
 const UNSAMPLED_LOAD_SHARE: f64 = 0.5;
 
-/// Time after its start within which an entry hears of all targets: they announce themselves about
+/// Time after its start within which an entry learns of all targets: they announce themselves about
 /// once a second, and to another control member if one does not answer for a second.
 const DISCOVERY_PERIOD: Duration = Duration::from_secs(3);
 
@@ -179,12 +179,13 @@
 
     /// Whether a service whose targets take no requests now is expected to take some soon: a target
     /// announces itself as ready and its weights are arriving, or this entry started recently and
-    /// has not heard of all targets yet.
+    /// does not know all targets yet.
     ///
-    /// While the origin of the weights is unreachable no end is in sight, and a queued request
-    /// would wait in vain for 1.5 s in which its caller could have retried. Over a day with such an
-    /// outage of four seconds, 0.787 of the value of all requests was earned with waiting and 0.794
-    /// without (means of two and three plays of 48 s at usual load).
+    /// While the origin of the weights is unreachable, the end of the outage cannot be predicted,
+    /// and a queued request would wait for 1.5 s without a result; its caller could have retried in
+    /// that time. Over a day with such an outage of four seconds, 0.787 of the value of all
+    /// requests was earned with waiting and 0.794 without (means of two and three plays of 48 s at
+    /// usual load).
     pub fn expects_capacity(&self, service: &ServiceName, now: Instant) -> bool {
         if now.saturating_duration_since(self.started_at) < DISCOVERY_PERIOD {
             return true;
--- a/crates/serving/src/target_table.rs
+++ b/crates/serving/src/target_table.rs
@@ -381,8 +381,8 @@
         }
     }
 
-    /// Drops a pending first byte, because nobody waits for the answer any more; says nothing about
-    /// the target.
+    /// Drops a pending first byte, because the answer is no longer awaited; this says nothing
+    /// about the target.
     pub fn stop_awaiting(&mut self, id: &TargetId, sent_at: Instant) {
         if let Some(row) = self.rows.get_mut(id) {
             row.stop_awaiting(sent_at);
--- a/crates/serving/src/target_table/row.rs
+++ b/crates/serving/src/target_table/row.rs
@@ -50,7 +50,8 @@
     /// How many requests of its own an entry may have at a target where `busy` of `slots` slots are
     /// taken, `own` of them by this entry: as many as it has, and its share of the free ones. A
     /// fractional limit is rounded up or down at random, so that the entries together use what is
-    /// free. At a target with too many requests every entry gives up the same fraction of its own.
+    /// free. At a target with too many requests, every entry's limit is the same fraction of the
+    /// requests that it has there.
     fn own_limit(self, slots: f64, busy: u32, own: u32) -> u32 {
         let (busy, own) = (f64::from(busy), f64::from(own));
         let own_limit =
--- a/crates/stager/src/transfer.rs
+++ b/crates/stager/src/transfer.rs
@@ -62,7 +62,7 @@
     plan_wake: Notify,
 }
 
-/// Number of digest mismatches of one chunk from which on the digest itself is taken for wrong.
+/// Number of digest mismatches of one chunk at which the digest itself is assumed to be wrong.
 const MAX_DIGEST_MISMATCHES: u32 = 5;
 
 type FetchResult = (FetchOrder, Result<Bytes, FetchFailure>);
--- a/crates/swarm/src/planner.rs
+++ b/crates/swarm/src/planner.rs
@@ -6,7 +6,8 @@
 //!
 //! - Every instance ranks the announced swarm for each chunk by the same hash. The first ranks, as
 //!   many as the profile allows copies, may fetch that chunk from the origin; the others wait until
-//!   a peer has it. So the origin sends each chunk about once, and nobody has to count.
+//!   a peer has it. So the origin sends each chunk about once, and no instance has to count the
+//!   copies.
 //! - When an instance dies, it leaves the announced swarm and the next rank takes its place. When
 //!   one hangs, the instances that starve skip it.
 //! - Among the chunks that peers have, the rarest is fetched first. Ties are broken differently at
--- a/crates/swarm/src/planner/choose.rs
+++ b/crates/swarm/src/planner/choose.rs
@@ -95,9 +95,10 @@
     /// [`SwarmPlanner::overdue_step`] since it last fetched an assigned chunk.
     ///
     /// Guards against a seeder with a slow or disturbed link: it goes on fetching, but slowly, and
-    /// all wait for its assigned chunks, while nobody starves for long enough to skip it. A version
-    /// then takes three times as long as the origin needs for it (8.3 s with one of six seeders at
-    /// 0.9 Mbit/s). The ranks keep the seeders that are done from all fetching the same chunk.
+    /// all wait for its assigned chunks, while no instance starves for long enough to skip it. A
+    /// version then takes three times as long as the origin needs for it (8.3 s with one of six
+    /// seeders at 0.9 Mbit/s). The ranks keep the seeders that are done from all fetching the same
+    /// chunk.
     fn overdue_ranks(&self, now: Duration) -> u32 {
         if self.policy.max_seeders == usize::MAX {
             return 0;
@@ -173,7 +174,7 @@
     /// fetches the chunk. One stall timeout covers all chunks of the hanging seeder, however many
     /// there are.
     ///
-    /// While the origin is unreachable, nobody is skipped: all instances starve, and each would
+    /// While the origin is unreachable, no seeder is skipped: all instances starve, and each would
     /// come to a list of its own. When the origin is back, some chunks would have no seeder at all,
     /// and the version is then 1.5 s late in every third run of such an outage.
     fn skip_stalled_seeders(&mut self, now: Duration) {
